--- a/internal/capacity/fleet.go
+++ b/internal/capacity/fleet.go
@@ -30,7 +30,7 @@
 	byName    map[ids.Instance]*fleetNode
 	queue     events
 	sequence  int
-	documents []core.Published // latest of each key, in order of revision
+	documents []core.Publication // latest of each key, in order of revision
 	revision  ids.Revision
 	watches   []watch
 	down      bool    // the platform cannot be reached
@@ -197,7 +197,7 @@
 		e := &n.out.List[i]
 		switch e.Kind {
 		case core.ToPeer:
-			f.send(n, e.Instance, e.Peer)
+			f.send(n, e.Instance, e.PeerMessage)
 		case core.WatchConfig:
 			f.read(n, e.Revision, e.Watch)
 		case core.Log:
@@ -209,7 +209,7 @@
 }
 
 func (f *fleet) peer(n *fleetNode, m *peerwire.Message) {
-	f.call(n, func(out *core.Effects) { n.core.Peer(f.now, &core.PeerEvent{Message: m}, out) })
+	f.call(n, func(out *core.Effects) { n.core.HandlePeer(f.now, &core.PeerEvent{Message: m}, out) })
 }
 
 // send applies the budget as internal/link does: a heartbeat over it is
--- a/internal/capacity/fleetslopes.go
+++ b/internal/capacity/fleetslopes.go
@@ -179,7 +179,7 @@
 		seeds = append(seeds, core.ListedInstance{ID: m.ID, DataCentre: m.DataCentre, PeerAddr: m.PeerAddr})
 	}
 	for _, n := range f.nodes {
-		f.call(n, func(out *core.Effects) { n.core.Instances(f.now, &core.InstancesEvent{Instances: seeds}, out) })
+		f.call(n, func(out *core.Effects) { n.core.HandleInstances(f.now, &core.InstancesEvent{Instances: seeds}, out) })
 	}
 	for f.now.Sub(epoch) < coldLimit {
 		f.run(500 * time.Millisecond)
--- a/internal/capacity/node.go
+++ b/internal/capacity/node.go
@@ -91,10 +91,10 @@
 	if s.members > 1 {
 		n.peer(&peerwire.Message{From: instanceName(1), Incarnation: 2, MemberDelta: delta})
 	}
-	documents := []core.Published{{Key: "profile/standard", Revision: 1, Value: profile(0)}}
+	documents := []core.Publication{{Key: "profile/standard", Revision: 1, Value: profile(0)}}
 	for i := range s.services {
 		dc := ids.DataCentre(fmt.Sprintf("dc%d", i%max(1, s.dataCentres)))
-		documents = append(documents, core.Published{Key: "service/" + string(serviceName(i)), Revision: ids.Revision(i + 2),
+		documents = append(documents, core.Publication{Key: "service/" + string(serviceName(i)), Revision: ids.Revision(i + 2),
 			Value: serviceDocument(i, s.targets, dc, 0)})
 	}
 	n.config(documents)
@@ -111,10 +111,10 @@
 	return n
 }
 
-func (n *node) config(documents []core.Published) {
+func (n *node) config(documents []core.Publication) {
 	n.revision = max(n.revision, documents[len(documents)-1].Revision)
 	n.out.Reset()
-	n.core.Config(n.now, &core.ConfigEvent{Documents: documents, Upto: n.revision}, &n.out)
+	n.core.HandleConfig(n.now, &core.ConfigEvent{Documents: documents, Revision: n.revision}, &n.out)
 	for i := range n.out.List {
 		if e := &n.out.List[i]; e.Event == "config-refused" {
 			panic("capacity: " + e.Detail)
@@ -124,7 +124,7 @@
 
 func (n *node) peer(m *peerwire.Message) {
 	n.out.Reset()
-	n.core.Peer(n.now, &core.PeerEvent{Message: m}, &n.out)
+	n.core.HandlePeer(n.now, &core.PeerEvent{Message: m}, &n.out)
 }
 
 // tick advances the core and answers as its neighbours and the platform do:
@@ -138,8 +138,8 @@
 	for i := range n.out.List {
 		e := &n.out.List[i]
 		switch {
-		case e.Kind == core.ToPeer && e.Peer.Heartbeat != nil:
-			h := *e.Peer.Heartbeat
+		case e.Kind == core.ToPeer && e.PeerMessage.Heartbeat != nil:
+			h := *e.PeerMessage.Heartbeat
 			h.Updates = nil
 			replies = append(replies, &peerwire.Message{From: e.Instance, Heartbeat: &h})
 		case e.Kind == core.WatchConfig && !e.Watch:
@@ -151,7 +151,7 @@
 	}
 	if read {
 		n.out.Reset()
-		n.core.Config(n.now, &core.ConfigEvent{Upto: n.revision}, &n.out)
+		n.core.HandleConfig(n.now, &core.ConfigEvent{Revision: n.revision}, &n.out)
 	}
 }
 
@@ -188,19 +188,19 @@
 func (n *node) exchange(m *message.Message, caller ids.Endpoint) int {
 	n.step()
 	n.out.Reset()
-	n.core.Caller(n.now, &core.CallerEvent{Service: n.service, Caller: caller, Message: m}, &n.out)
+	n.core.HandleCaller(n.now, &core.CallerEvent{Service: n.service, Caller: caller, Message: m}, &n.out)
 	var from ids.Endpoint
 	reply := message.Message{Type: message.Acknowledgement, Code: message.Content, HasObserve: m.HasObserve, Observe: 1, MaxAge: 3600}
 	for i := range n.out.List {
 		if e := &n.out.List[i]; e.Kind == core.ToBackend {
-			from, reply.ID, reply.Token, reply.Raw = e.Endpoint, e.Out.ID, e.Out.Token, e.Out.Template
+			from, reply.ID, reply.Token, reply.Raw = e.Endpoint, e.Datagram.ID, e.Datagram.Token, e.Datagram.Template
 		}
 	}
 	if !from.IsValid() {
 		return 1
 	}
 	n.out.Reset()
-	n.core.Backend(n.now, &core.BackendEvent{From: from, Message: &reply}, &n.out)
+	n.core.HandleBackend(n.now, &core.BackendEvent{From: from, Message: &reply}, &n.out)
 	return 2
 }
 
--- a/internal/capacity/platform.go
+++ b/internal/capacity/platform.go
@@ -13,8 +13,8 @@
 // publish replaces a document and answers the watches.
 func (f *fleet) publish(key string, value []byte) ids.Revision {
 	f.revision++
-	f.documents = slices.DeleteFunc(f.documents, func(d core.Published) bool { return d.Key == key })
-	f.documents = append(f.documents, core.Published{Key: key, Revision: f.revision, Value: value})
+	f.documents = slices.DeleteFunc(f.documents, func(d core.Publication) bool { return d.Key == key })
+	f.documents = append(f.documents, core.Publication{Key: key, Revision: f.revision, Value: value})
 	if f.down {
 		return f.revision
 	}
@@ -31,7 +31,7 @@
 	f.reads++
 	if f.down {
 		f.after(platformDelay, func() {
-			f.call(n, func(out *core.Effects) { n.core.Config(f.now, &core.ConfigEvent{Err: errDown}, out) })
+			f.call(n, func(out *core.Effects) { n.core.HandleConfig(f.now, &core.ConfigEvent{Err: errDown}, out) })
 		})
 		return
 	}
@@ -43,14 +43,14 @@
 }
 
 func (f *fleet) respond(n *fleetNode, after ids.Revision) {
-	e := &core.ConfigEvent{Upto: f.revision}
+	e := &core.ConfigEvent{Revision: f.revision}
 	for _, d := range f.documents {
 		if d.Revision > after {
 			e.Documents = append(e.Documents, d)
 		}
 	}
 	f.after(platformDelay, func() {
-		f.call(n, func(out *core.Effects) { n.core.Config(f.now, e, out) })
+		f.call(n, func(out *core.Effects) { n.core.HandleConfig(f.now, e, out) })
 	})
 }
 
--- a/internal/capacity/processor.go
+++ b/internal/capacity/processor.go
@@ -107,8 +107,8 @@
 		n.core.Tick(n.now, &n.out)
 		n.ticked = n.now
 		for i := range n.out.List {
-			if e := &n.out.List[i]; e.Kind == core.ToPeer && e.Peer.Heartbeat != nil {
-				copied := *e.Peer.Heartbeat
+			if e := &n.out.List[i]; e.Kind == core.ToPeer && e.PeerMessage.Heartbeat != nil {
+				copied := *e.PeerMessage.Heartbeat
 				copied.Updates = nil
 				h = &peerwire.Message{From: e.Instance, Heartbeat: &copied}
 			}
@@ -130,12 +130,12 @@
 }
 
 func healthProcessor(n *node, count int) float64 {
-	e := &core.HealthEvent{Service: n.service, Target: "backend-0", Healthy: true, Load: 0.5, Took: time.Millisecond}
+	e := &core.HealthEvent{Service: n.service, Target: "backend-0", Healthy: true, Load: 0.5, Duration: time.Millisecond}
 	return processor(func() {
 		for range count {
 			n.step()
 			n.out.Reset()
-			n.core.Health(n.now, e, &n.out)
+			n.core.HandleHealth(n.now, e, &n.out)
 		}
 	})
 }
@@ -167,7 +167,7 @@
 		for range count {
 			n.step()
 			n.revision++
-			n.config([]core.Published{{Key: "service/s0003", Revision: n.revision, Value: serviceDocument(3, 4, "dc3", int(n.revision))}})
+			n.config([]core.Publication{{Key: "service/s0003", Revision: n.revision, Value: serviceDocument(3, 4, "dc3", int(n.revision))}})
 		}
 	})
 }
@@ -178,7 +178,7 @@
 	return processor(func() {
 		n.step()
 		n.revision++
-		n.config([]core.Published{{Key: "profile/standard", Revision: n.revision, Value: profile(int(n.revision))}})
+		n.config([]core.Publication{{Key: "profile/standard", Revision: n.revision, Value: profile(int(n.revision))}})
 	})
 }
 
--- a/internal/core/arena.go
+++ b/internal/core/arena.go
@@ -56,7 +56,7 @@
 
 func (c *Core) send(to ids.Instance, b *box) {
 	e := c.emit(ToPeer)
-	e.Instance, e.Peer = to, &b.message
+	e.Instance, e.PeerMessage = to, &b.message
 }
 
 // address returns the text of e in the memory of b. Like all memory that an
--- a/internal/core/backend.go
+++ b/internal/core/backend.go
@@ -24,7 +24,7 @@
 )
 
 // Backend handles a datagram from a backend server.
-func (c *Core) Backend(now ids.Time, e *BackendEvent, out *Effects) {
+func (c *Core) HandleBackend(now ids.Time, e *BackendEvent, out *Effects) {
 	c.begin(now, out)
 	if c.exited {
 		return
@@ -91,7 +91,7 @@
 	}
 	if m.Type == message.Confirmable {
 		a := c.emit(ToBackend)
-		a.Endpoint, a.Out = e.From, message.Outgoing{Type: message.Acknowledgement, ID: m.ID}
+		a.Endpoint, a.Datagram = e.From, message.Outgoing{Type: message.Acknowledgement, ID: m.ID}
 	}
 	if u.feed != nil {
 		c.notified(u.feed, up, m)
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -64,19 +64,19 @@
 	x.out.Reset()
 	x.now += 20_000
 	x.c.tick = x.now
-	x.c.Caller(x.now, e, &x.out)
+	x.c.HandleCaller(x.now, e, &x.out)
 }
 
 func (x *bench) respond() {
 	for i := range x.out.List {
 		if e := &x.out.List[i]; e.Kind == ToBackend {
-			x.from, x.sent = e.Endpoint, message.Message{ID: e.Out.ID, Token: e.Out.Token, Raw: e.Out.Template}
+			x.from, x.sent = e.Endpoint, message.Message{ID: e.Datagram.ID, Token: e.Datagram.Token, Raw: e.Datagram.Template}
 		}
 	}
 	x.sent.Type, x.sent.Code = message.Acknowledgement, message.Content
 	x.out.Reset()
 	x.now += 20_000
-	x.c.Backend(x.now, &BackendEvent{From: x.from, Message: &x.sent}, &x.out)
+	x.c.HandleBackend(x.now, &BackendEvent{From: x.from, Message: &x.sent}, &x.out)
 }
 
 // decisions reports the time of one call of the core; perOp is the number of
@@ -139,7 +139,7 @@
 					x.out.Reset()
 					x.c.begin(x.now, &x.out)
 					x.c.grant(grant, x.c.self.ID, x.c.self.Incarnation)
-					copy(echoes[i][:], x.out.List[0].Out.Echo)
+					copy(echoes[i][:], x.out.List[0].Datagram.Echo)
 				}
 				b.StartTimer()
 			}
--- a/internal/core/caller.go
+++ b/internal/core/caller.go
@@ -12,7 +12,7 @@
 )
 
 // Caller handles a datagram from a caller.
-func (c *Core) Caller(now ids.Time, e *CallerEvent, out *Effects) {
+func (c *Core) HandleCaller(now ids.Time, e *CallerEvent, out *Effects) {
 	c.begin(now, out)
 	if c.exited {
 		return
@@ -54,7 +54,7 @@
 	if a.m.Type == message.Confirmable { // ping, RFC 7252 section 4.3
 		e := c.emit(ToCaller)
 		e.Service, e.Endpoint = a.svc.name, a.caller
-		e.Out = message.Outgoing{Type: message.Reset, ID: a.m.ID}
+		e.Datagram = message.Outgoing{Type: message.Reset, ID: a.m.ID}
 		return
 	}
 	k := flow.AckKey{FlowKey: ids.FlowKey{Caller: a.caller, Service: a.svc.name}, ID: a.m.ID}
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -13,7 +13,7 @@
 const deltaBytes = 32 << 10
 
 // Config handles the result of a read of the platform.
-func (c *Core) Config(now ids.Time, e *ConfigEvent, out *Effects) {
+func (c *Core) HandleConfig(now ids.Time, e *ConfigEvent, out *Effects) {
 	c.begin(now, out)
 	if e.Err != nil {
 		c.sync.Read(c.now, 0, false)
@@ -24,11 +24,11 @@
 		documents = append(documents, config.Publication{Key: d.Key, Revision: d.Revision, Value: d.Value})
 	}
 	// A stale platform changes nothing: the store keeps the highest revisions.
-	changed, refused := c.store.Publish(documents, e.Upto)
+	changed, refused := c.store.Publish(documents, e.Revision)
 	for _, f := range refused {
 		c.log("config-refused", fmt.Sprintf("key=%s revision=%d error=%q", f.Key, f.Revision, f.Err))
 	}
-	c.sync.Read(c.now, e.Upto, true)
+	c.sync.Read(c.now, e.Revision, true)
 	c.apply(changed)
 }
 
@@ -74,7 +74,7 @@
 }
 
 // Instances handles the platform's list, which names addresses only.
-func (c *Core) Instances(now ids.Time, e *InstancesEvent, out *Effects) {
+func (c *Core) HandleInstances(now ids.Time, e *InstancesEvent, out *Effects) {
 	c.begin(now, out)
 	seeds := make([]member.Seed, 0, len(e.Instances))
 	for _, i := range e.Instances {
--- a/internal/core/config_test.go
+++ b/internal/core/config_test.go
@@ -24,8 +24,10 @@
 }
 
 // publish lets the platform return documents to core i.
-func (w *world) publish(i int, upto ids.Revision, documents ...Published) {
-	w.call(i, func(c *Core, out *Effects) { c.Config(w.now, &ConfigEvent{Documents: documents, Upto: upto}, out) })
+func (w *world) publish(i int, upto ids.Revision, documents ...Publication) {
+	w.call(i, func(c *Core, out *Effects) {
+		c.HandleConfig(w.now, &ConfigEvent{Documents: documents, Revision: upto}, out)
+	})
 }
 
 func (w *world) targets(i int) int {
@@ -41,19 +43,19 @@
 // document replacing a good one.
 func TestConfigurationSpreadsAndIsNeverRolledBack(t *testing.T) {
 	w := newWorld(t, 3, resolved("s", 3))
-	w.publish(0, 2, Published{"profile/standard", 1, []byte(profileDocument)}, Published{"service/d", 2, serviceDocument(0, 1)})
+	w.publish(0, 2, Publication{"profile/standard", 1, []byte(profileDocument)}, Publication{"service/d", 2, serviceDocument(0, 1)})
 	w.advance(3 * time.Second)
 	for i := range w.cores {
 		assert.Equal(t, w.targets(i), 2)
 		assert.Equal(t, w.cores[i].store.Revision(), ids.Revision(2))
 	}
-	w.publish(1, 3, Published{"service/d", 3, serviceDocument(0, 1, 2)})
-	w.publish(0, 2, Published{"service/d", 2, serviceDocument(0, 1)})
+	w.publish(1, 3, Publication{"service/d", 3, serviceDocument(0, 1, 2)})
+	w.publish(0, 2, Publication{"service/d", 2, serviceDocument(0, 1)})
 	w.advance(3 * time.Second)
-	w.publish(2, 1, Published{"service/d", 1, serviceDocument(0)})
-	w.publish(2, 4, Published{"service/d", 4, []byte("port = 0\n")})
+	w.publish(2, 1, Publication{"service/d", 1, serviceDocument(0)})
+	w.publish(2, 4, Publication{"service/d", 4, []byte("port = 0\n")})
 	w.call(2, func(c *Core, out *Effects) {
-		c.Peer(w.now, &PeerEvent{Message: &peerwire.Message{From: "i0", Incarnation: 1, ConfigDelta: &peerwire.ConfigDelta{
+		c.HandlePeer(w.now, &PeerEvent{Message: &peerwire.Message{From: "i0", Incarnation: 1, ConfigDelta: &peerwire.ConfigDelta{
 			Upto: 1, Documents: []peerwire.Document{{Key: "service/d", Revision: 1, Value: serviceDocument(0)}}}}}, out)
 	})
 	w.advance(3 * time.Second)
@@ -67,7 +69,7 @@
 // "not run" for one that has run.
 func TestRemovedService(t *testing.T) {
 	w := newWorld(t, 1, resolved("s", 1))
-	w.publish(0, 2, Published{"profile/standard", 1, []byte(profileDocument)}, Published{"service/d", 2, serviceDocument(0)})
+	w.publish(0, 2, Publication{"profile/standard", 1, []byte(profileDocument)}, Publication{"service/d", 2, serviceDocument(0)})
 	delete(w.cores[0].services, "s")
 	d := post(7, "claim")
 	d.echo = w.grant(0, callerA, d)
@@ -78,7 +80,7 @@
 	for n := range 6 {
 		w.send(0, callerN(n+1), get(1))
 	}
-	w.publish(0, 3, Published{"service/d", 3, nil})
+	w.publish(0, 3, Publication{"service/d", 3, nil})
 	w.advance(100 * time.Millisecond)
 	for n := 4; n < 6; n++ {
 		got := w.finals(callerN(n + 1))
@@ -97,7 +99,7 @@
 // its peers have a newer one.
 func TestJoiningInstanceLearnsFromPeers(t *testing.T) {
 	w := newWorld(t, 3, resolved("s", 3))
-	w.publish(0, 2, Published{"profile/standard", 1, []byte(profileDocument)}, Published{"service/d", 2, serviceDocument(0, 1)})
+	w.publish(0, 2, Publication{"profile/standard", 1, []byte(profileDocument)}, Publication{"service/d", 2, serviceDocument(0, 1)})
 	w.advance(2 * time.Second)
 	w.paused[2] = true
 	w.advance(10 * time.Second)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -139,7 +139,7 @@
 	c.trace = c.rng.Uint64()
 	c.sendPeer = func(to ids.Instance, m *peerwire.Message) {
 		e := c.emit(ToPeer)
-		e.Instance, e.Peer = to, m
+		e.Instance, e.PeerMessage = to, m
 	}
 	c.checkDue = func(s ids.Service, target ids.Target, url string) {
 		e := c.emit(CheckHealth)
@@ -171,7 +171,7 @@
 }
 
 // emit appends an effect. The result is valid until the next emit.
-func (c *Core) emit(k Kind) *Effect {
+func (c *Core) emit(k EffectKind) *Effect {
 	c.out.List = append(c.out.List, Effect{Kind: k})
 	return &c.out.List[len(c.out.List)-1]
 }
@@ -181,9 +181,9 @@
 	e.Event, e.Detail = event, detail
 }
 
-func (c *Core) span(hop Hop, s *service, trace uint64, start ids.Time) {
+func (c *Core) span(hop Stage, s *service, trace uint64, start ids.Time) {
 	e := c.emit(Span)
-	e.Hop, e.Service, e.Trace, e.Start, e.Duration = hop, s.name, trace, start, c.now.Sub(start)
+	e.Stage, e.Service, e.TraceID, e.Start, e.Duration = hop, s.name, trace, start, c.now.Sub(start)
 }
 
 // accepting reports whether this instance may start new work in its own slots.
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -197,7 +197,7 @@
 func (c *Core) transmit(r *request) {
 	e := c.emit(ToBackend)
 	e.Service, e.Target, e.Endpoint = r.svc.name, r.lease.Target, r.lease.Endpoint
-	e.Out = message.Outgoing{
+	e.Datagram = message.Outgoing{
 		Template: r.raw, Type: message.Confirmable, ID: r.upID, Token: tokenOf(r.up),
 		DropEcho:   r.isAdmitted,
 		DeadlineMS: uint32(max(1, r.deadline.Sub(c.now)/time.Millisecond)),
@@ -229,5 +229,5 @@
 func (c *Core) reset(s ids.Service, t ids.Target, to ids.Endpoint, id uint16) {
 	e := c.emit(ToBackend)
 	e.Service, e.Target, e.Endpoint = s, t, to
-	e.Out = message.Outgoing{Type: message.Reset, ID: id}
+	e.Datagram = message.Outgoing{Type: message.Reset, ID: id}
 }
--- a/internal/core/effect.go
+++ b/internal/core/effect.go
@@ -12,26 +12,26 @@
 )
 
 // Kind selects the meaning of an Effect.
-type Kind uint8
+type EffectKind uint8
 
 // Kinds of effects.
 const (
-	ToCaller    Kind = iota // send Out from the address of Service to Endpoint
-	ToBackend               // send Out to the backend server at Endpoint
-	ToPeer                  // send Peer to the instance Instance
-	CheckHealth             // probe URL and report the result as Health for Service, Target
-	WatchConfig             // read the platform for changes after Revision; wait for one if Watch
-	Span                    // record the trace hop Hop
-	Log                     // write one log line
-	Exit                    // the graceful shutdown is complete
+	ToCaller    EffectKind = iota // send Out from the address of Service to Endpoint
+	ToBackend                     // send Out to the backend server at Endpoint
+	ToPeer                        // send Peer to the instance Instance
+	CheckHealth                   // probe URL and report the result as Health for Service, Target
+	WatchConfig                   // read the platform for changes after Revision; wait for one if Watch
+	Span                          // record the trace hop Hop
+	Log                           // write one log line
+	Exit                          // the graceful shutdown is complete
 )
 
 // Hop is a step of a request that is traced.
-type Hop uint8
+type Stage uint8
 
 // Hops of a request.
 const (
-	Received Hop = iota
+	Received Stage = iota
 	Relayed
 	Admitted
 	Dispatched
@@ -42,22 +42,22 @@
 // that it refers to, the peer message and its strings included, is valid until
 // the next call of the core.
 type Effect struct {
-	Kind     Kind
-	Service  ids.Service
-	Target   ids.Target
-	Endpoint ids.Endpoint
-	Out      message.Outgoing
-	Instance ids.Instance
-	Peer     *peerwire.Message
-	URL      string
-	Revision ids.Revision
-	Watch    bool
-	Hop      Hop
-	Trace    uint64 // identifies the request within the instance
-	Start    ids.Time
-	Duration time.Duration
-	Event    string // log event name
-	Detail   string // key=value detail of the log event
+	Kind        EffectKind
+	Service     ids.Service
+	Target      ids.Target
+	Endpoint    ids.Endpoint
+	Datagram    message.Outgoing
+	Instance    ids.Instance
+	PeerMessage *peerwire.Message
+	URL         string
+	Revision    ids.Revision
+	Watch       bool
+	Stage       Stage
+	TraceID     uint64 // identifies the request within the instance
+	Start       ids.Time
+	Duration    time.Duration
+	Event       string // log event name
+	Detail      string // key=value detail of the log event
 }
 
 // Effects is the list that a call of the core appends to. The caller resets
--- a/internal/core/event.go
+++ b/internal/core/event.go
@@ -24,21 +24,21 @@
 // PeerEvent is a message from another instance. Relayed is the decoded
 // datagram when the message is a Relay.
 type PeerEvent struct {
-	Message *peerwire.Message
-	Relayed *message.Message
+	Message         *peerwire.Message
+	RelayedDatagram *message.Message
 }
 
 // ConfigEvent is the result of a read of the platform: the documents published
 // after the revision asked for, in order of revision. Err is set when the read
 // failed; the rest is then empty.
 type ConfigEvent struct {
-	Documents []Published
-	Upto      ids.Revision // highest revision that the platform knows
+	Documents []Publication
+	Revision  ids.Revision // highest revision that the platform knows
 	Err       error
 }
 
 // Published is one publication as read from the platform.
-type Published struct {
+type Publication struct {
 	Key      string
 	Revision ids.Revision
 	Value    []byte // nil when the key was deleted
@@ -64,5 +64,5 @@
 	Healthy  bool
 	Draining bool
 	Load     float64 // reported share of slots in use, 0 to 1; negative when absent
-	Took     time.Duration
+	Duration time.Duration
 }
--- a/internal/core/feed.go
+++ b/internal/core/feed.go
@@ -121,7 +121,7 @@
 	up.Tries++
 	e := c.emit(ToBackend)
 	e.Service, e.Target, e.Endpoint = f.Service, up.Target, up.Endpoint
-	e.Out = message.Outgoing{Template: f.Request, Type: message.Confirmable, ID: up.ID, Token: tokenOf(up.Token), SetObserve: true}
+	e.Datagram = message.Outgoing{Template: f.Request, Type: message.Confirmable, ID: up.ID, Token: tokenOf(up.Token), SetObserve: true}
 }
 
 // deregister ends a registration: later notifications match nothing.
@@ -132,7 +132,7 @@
 	e := c.emit(ToBackend)
 	e.Service, e.Target, e.Endpoint = f.Service, up.Target, up.Endpoint
 	c.nextID++
-	e.Out = message.Outgoing{Template: f.Request, Type: message.NonConfirmable, ID: c.nextID, Token: tokenOf(up.Token), SetObserve: true, Observe: 1}
+	e.Datagram = message.Outgoing{Template: f.Request, Type: message.NonConfirmable, ID: c.nextID, Token: tokenOf(up.Token), SetObserve: true, Observe: 1}
 	c.releaseFeed(f, up, o)
 	delete(c.upstreams, up.Token)
 	if c.exchanges[up.ID] == up.Token {
@@ -212,7 +212,7 @@
 		o.Type = message.NonConfirmable
 	}
 	e := c.emit(ToCaller)
-	e.Service, e.Endpoint, e.Out = s.name, f.Caller, o
+	e.Service, e.Endpoint, e.Datagram = s.name, f.Caller, o
 }
 
 // notObserved handles an error or a response without Observe: the backend
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -172,19 +172,19 @@
 func (w *world) effect(i int, e *Effect) {
 	switch e.Kind {
 	case ToCaller:
-		r := reply{w.now, i, e.Endpoint, decode(w.t, &e.Out)}
+		r := reply{w.now, i, e.Endpoint, decode(w.t, &e.Datagram)}
 		w.replies = append(w.replies, r)
 		if w.acks && r.m.Type == message.Confirmable {
 			w.after(time.Millisecond, func() { w.empty(i, r.caller, message.Acknowledgement, r.m.ID) })
 		}
 	case ToBackend:
-		w.backend(received{w.now, i, e.Target, decode(w.t, &e.Out)}, e.Endpoint)
+		w.backend(received{w.now, i, e.Target, decode(w.t, &e.Datagram)}, e.Endpoint)
 	case ToPeer:
-		w.peer(i, e.Instance, e.Peer)
+		w.peer(i, e.Instance, e.PeerMessage)
 	case WatchConfig:
 		if !e.Watch {
 			w.after(time.Millisecond, func() {
-				w.call(i, func(c *Core, out *Effects) { c.Config(w.now, &ConfigEvent{}, out) })
+				w.call(i, func(c *Core, out *Effects) { c.HandleConfig(w.now, &ConfigEvent{}, out) })
 			})
 		}
 	case Exit:
@@ -204,12 +204,12 @@
 		assert.NilError(w.t, peerwire.Decode(raw, &got))
 		e := &PeerEvent{Message: &got}
 		if got.Relay != nil {
-			e.Relayed = new(message.Message)
-			assert.NilError(w.t, message.Decode(got.Relay.Datagram, e.Relayed))
+			e.RelayedDatagram = new(message.Message)
+			assert.NilError(w.t, message.Decode(got.Relay.Datagram, e.RelayedDatagram))
 		}
 		for k := range w.cores {
 			if instanceID(k) == to {
-				w.call(k, func(c *Core, out *Effects) { c.Peer(w.now, e, out) })
+				w.call(k, func(c *Core, out *Effects) { c.HandlePeer(w.now, e, out) })
 			}
 		}
 	})
@@ -238,7 +238,7 @@
 
 func (w *world) fromBackend(core int, from ids.Endpoint, o *message.Outgoing) {
 	m := decode(w.t, o)
-	w.call(core, func(c *Core, out *Effects) { c.Backend(w.now, &BackendEvent{From: from, Message: &m}, out) })
+	w.call(core, func(c *Core, out *Effects) { c.HandleBackend(w.now, &BackendEvent{From: from, Message: &m}, out) })
 }
 
 // datagram builds a request.
@@ -297,7 +297,7 @@
 func (w *world) sendMessage(i int, caller ids.Endpoint, m *message.Message) {
 	w.call(i, func(c *Core, out *Effects) {
 		for s := range c.services {
-			c.Caller(w.now, &CallerEvent{Service: s, Caller: caller, Message: m}, out)
+			c.HandleCaller(w.now, &CallerEvent{Service: s, Caller: caller, Message: m}, out)
 		}
 	})
 }
--- a/internal/core/inspect.go
+++ b/internal/core/inspect.go
@@ -44,7 +44,7 @@
 
 // Details returns the details of all configured services in order of name. It
 // allocates.
-func (c *Core) Details() []ServiceDetail {
+func (c *Core) ServiceDetails() []ServiceDetail {
 	var list []ServiceDetail
 	for _, name := range slices.Sorted(maps.Keys(c.services)) {
 		s := c.services[name]
--- a/internal/core/memory_bench_test.go
+++ b/internal/core/memory_bench_test.go
@@ -27,16 +27,16 @@
 			c.tick = now
 			m.ID = uint16(n)
 			out.Reset()
-			c.Caller(now, &CallerEvent{Service: "s", Caller: caller, Message: &m}, out)
+			c.HandleCaller(now, &CallerEvent{Service: "s", Caller: caller, Message: &m}, out)
 			var from ids.Endpoint
 			reply := message.Message{Type: message.Acknowledgement, Code: message.Content, HasObserve: true, Observe: 1, MaxAge: 3600}
 			for i := range out.List {
 				if e := &out.List[i]; e.Kind == ToBackend {
-					from, reply.ID, reply.Token, reply.Raw = e.Endpoint, e.Out.ID, e.Out.Token, e.Out.Template
+					from, reply.ID, reply.Token, reply.Raw = e.Endpoint, e.Datagram.ID, e.Datagram.Token, e.Datagram.Template
 				}
 			}
 			out.Reset()
-			c.Backend(now, &BackendEvent{From: from, Message: &reply}, out)
+			c.HandleBackend(now, &BackendEvent{From: from, Message: &reply}, out)
 		}
 		assert.Equal(b, c.feeds.Len(), feeds)
 		b.ReportMetric(float64(heap()-before)/feeds, "B/feed")
--- a/internal/core/mix_test.go
+++ b/internal/core/mix_test.go
@@ -69,7 +69,7 @@
 			case 5:
 				target := service.Service.Targets[pick(3, "target")].Name
 				e := HealthEvent{Service: "s", Target: target, Healthy: pick(2, "healthy") == 0, Draining: pick(6, "drains") == 0, Load: -1}
-				w.call(at, func(c *Core, out *Effects) { c.Health(w.now, &e, out) })
+				w.call(at, func(c *Core, out *Effects) { c.HandleHealth(w.now, &e, out) })
 			default:
 				for k := range rapid.SampledFrom([]int{1, 1, 20}).Draw(rt, "burst") {
 					d := get(uint16(n))
--- a/internal/core/peer.go
+++ b/internal/core/peer.go
@@ -10,7 +10,7 @@
 )
 
 // Peer handles a message from another instance.
-func (c *Core) Peer(now ids.Time, e *PeerEvent, out *Effects) {
+func (c *Core) HandlePeer(now ids.Time, e *PeerEvent, out *Effects) {
 	c.begin(now, out)
 	m := e.Message
 	if c.exited || m.From == c.self.ID || m.From == "" {
@@ -54,7 +54,7 @@
 	r := m.Relay
 	s := c.services[r.Service]
 	caller, err := netip.ParseAddrPort(r.Caller)
-	if s == nil || err != nil || e.Relayed == nil {
+	if s == nil || err != nil || e.RelayedDatagram == nil {
 		c.counts.Malformed++
 		return
 	}
@@ -67,7 +67,7 @@
 		p.relayed = c.now
 		c.wake(s)
 	}
-	c.receive(s, caller, e.Relayed, trace, r)
+	c.receive(s, caller, e.RelayedDatagram, trace, r)
 }
 
 // ackRouted records where ACKs or follow-up blocks of a caller are relayed to.
--- a/internal/core/respond.go
+++ b/internal/core/respond.go
@@ -58,7 +58,7 @@
 		}
 	}
 	e := c.emit(ToCaller)
-	e.Service, e.Endpoint, e.Out = x.svc.name, x.caller, *o
+	e.Service, e.Endpoint, e.Datagram = x.svc.name, x.caller, *o
 }
 
 // ack sends the empty ACK after which the response follows separately.
@@ -66,7 +66,7 @@
 	x.acked = true
 	e := c.emit(ToCaller)
 	e.Service, e.Endpoint = x.svc.name, x.caller
-	e.Out = message.Outgoing{Type: message.Acknowledgement, ID: x.id}
+	e.Datagram = message.Outgoing{Type: message.Acknowledgement, ID: x.id}
 }
 
 // confirm keeps a copy of a confirmable message until it is acknowledged. It
@@ -167,7 +167,7 @@
 		q.next = c.now.Add(q.timeout)
 		c.counts.Retransmits++
 		e := c.emit(ToCaller)
-		e.Service, e.Endpoint, e.Out = q.key.Service, q.key.Caller, q.out
+		e.Service, e.Endpoint, e.Datagram = q.key.Service, q.key.Caller, q.out
 	}
 }
 
--- a/internal/core/tick.go
+++ b/internal/core/tick.go
@@ -161,7 +161,7 @@
 }
 
 // Health handles the result of a health check.
-func (c *Core) Health(now ids.Time, e *HealthEvent, out *Effects) {
+func (c *Core) HandleHealth(now ids.Time, e *HealthEvent, out *Effects) {
 	c.begin(now, out)
 	s := c.services[e.Service]
 	if s == nil || c.exited {
@@ -171,6 +171,6 @@
 	if s.pool == nil {
 		return
 	}
-	s.pool.Health(c.now, spread.Health{Target: e.Target, Healthy: e.Healthy, Draining: e.Draining, Load: e.Load, Took: e.Took})
+	s.pool.Health(c.now, spread.Health{Target: e.Target, Healthy: e.Healthy, Draining: e.Draining, Load: e.Load, Took: e.Duration})
 	c.dispatch(s)
 }
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -48,7 +48,7 @@
 
 func (d *Daemon) serveState(w http.ResponseWriter, r *http.Request) {
 	var state State
-	if !d.ask(r.Context(), func() { state = State{Snapshot: d.core.Snapshot(), Details: d.core.Details()} }) {
+	if !d.ask(r.Context(), func() { state = State{Snapshot: d.core.Snapshot(), Details: d.core.ServiceDetails()} }) {
 		fault(w, http.StatusServiceUnavailable, "the core did not respond in time")
 		return
 	}
--- a/internal/daemon/effects.go
+++ b/internal/daemon/effects.go
@@ -29,7 +29,7 @@
 			d.backend.send(p)
 		}
 	case core.ToPeer:
-		d.links.Send(e.Instance, e.Peer) // counts what it refuses
+		d.links.Send(e.Instance, e.PeerMessage) // counts what it refuses
 	case core.CheckHealth:
 		if !d.checker.check(e.Service, e.Target, e.URL) {
 			l.checksDropped.Add(1)
@@ -48,7 +48,7 @@
 func (l *loop) encode(e *core.Effect) *packet {
 	p := newPacket()
 	var err error
-	if p.data, err = message.Encode(p.data, &e.Out); err != nil {
+	if p.data, err = message.Encode(p.data, &e.Datagram); err != nil {
 		l.unsent.Add(1)
 		l.d.log.Warn("datagram-not-encoded", "service", e.Service, "to", e.Endpoint, "error", err)
 		p.release()
@@ -59,11 +59,11 @@
 }
 
 func (l *loop) span(e *core.Effect) {
-	if int(e.Hop) >= len(hopNames) || !l.d.tracer.Sampled(e.Trace) {
+	if int(e.Stage) >= len(hopNames) || !l.d.tracer.Sampled(e.TraceID) {
 		return
 	}
 	if !l.d.spans.Push(telemetry.Hop{
-		Name: hopNames[e.Hop], Request: e.Trace, Service: e.Service, Target: e.Target,
+		Name: hopNames[e.Stage], Request: e.TraceID, Service: e.Service, Target: e.Target,
 		Start: time.Unix(0, int64(e.Start)), Duration: e.Duration,
 	}) {
 		l.spansDropped.Add(1)
--- a/internal/daemon/health.go
+++ b/internal/daemon/health.go
@@ -48,7 +48,7 @@
 		if err != nil {
 			event = core.HealthEvent{Load: -1} // an unreachable or invalid endpoint is not healthy
 		}
-		event.Service, event.Target, event.Took = service, target, time.Since(start)
+		event.Service, event.Target, event.Duration = service, target, time.Since(start)
 		c.report(event)
 	})
 	return err == nil
--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -106,11 +106,11 @@
 			l.tick()
 		case p := <-l.d.callers.Out():
 			l.caller = core.CallerEvent{Service: p.service, Caller: p.peer, Message: &p.message}
-			l.do(func(now ids.Time) { l.d.core.Caller(now, &l.caller, &l.effects) })
+			l.do(func(now ids.Time) { l.d.core.HandleCaller(now, &l.caller, &l.effects) })
 			p.release()
 		case p := <-l.d.backends.Out():
 			l.backend = core.BackendEvent{From: p.peer, Message: &p.message}
-			l.do(func(now ids.Time) { l.d.core.Backend(now, &l.backend, &l.effects) })
+			l.do(func(now ids.Time) { l.d.core.HandleBackend(now, &l.backend, &l.effects) })
 			p.release()
 		case m := <-l.d.messages.Out():
 			l.peer(m)
@@ -188,9 +188,9 @@
 			l.d.listeners.counts.malformed.Add(1)
 			return
 		}
-		e.Relayed = &l.relayed
+		e.RelayedDatagram = &l.relayed
 	}
-	l.do(func(now ids.Time) { l.d.core.Peer(now, &e, &l.effects) })
+	l.do(func(now ids.Time) { l.d.core.HandlePeer(now, &e, &l.effects) })
 	if m.ConfigDelta != nil {
 		l.reconfigure()
 	}
@@ -199,13 +199,13 @@
 func (l *loop) control(e event) {
 	switch {
 	case e.config != nil:
-		l.do(func(now ids.Time) { l.d.core.Config(now, e.config, &l.effects) })
+		l.do(func(now ids.Time) { l.d.core.HandleConfig(now, e.config, &l.effects) })
 		l.reconfigure()
 	case e.instances != nil:
 		l.d.addresses.list(e.instances)
-		l.do(func(now ids.Time) { l.d.core.Instances(now, e.instances, &l.effects) })
+		l.do(func(now ids.Time) { l.d.core.HandleInstances(now, e.instances, &l.effects) })
 	case e.health != nil:
-		l.do(func(now ids.Time) { l.d.core.Health(now, e.health, &l.effects) })
+		l.do(func(now ids.Time) { l.d.core.HandleHealth(now, e.health, &l.effects) })
 	}
 }
 
--- a/internal/daemon/socket_test.go
+++ b/internal/daemon/socket_test.go
@@ -159,8 +159,8 @@
 		body, status = x.body, x.status
 		assert.Assert(t, c.check("s", "t", server.URL))
 		e := <-got
-		assert.Assert(t, e.Took > 0 && e.Service == "s" && e.Target == "t")
-		assert.DeepEqual(t, e, core.HealthEvent{Service: "s", Target: "t", Healthy: x.healthy, Draining: x.draining, Load: x.load, Took: e.Took})
+		assert.Assert(t, e.Duration > 0 && e.Service == "s" && e.Target == "t")
+		assert.DeepEqual(t, e, core.HealthEvent{Service: "s", Target: "t", Healthy: x.healthy, Draining: x.draining, Load: x.load, Duration: e.Duration})
 	}
 	assert.Assert(t, c.check("s", "t", "http://127.0.0.1:1/"))
 	assert.Assert(t, !(<-got).Healthy)
--- a/internal/daemon/watch.go
+++ b/internal/daemon/watch.go
@@ -53,7 +53,7 @@
 				w.log.Info("platform-read-recovered", "upto", page.Upto)
 			}
 			failing = err != nil
-			w.emit(event{config: &core.ConfigEvent{Documents: page.Documents, Upto: page.Upto, Err: err}})
+			w.emit(event{config: &core.ConfigEvent{Documents: page.Documents, Revision: page.Upto, Err: err}})
 		}
 	}
 }
--- a/internal/documents/documents.go
+++ b/internal/documents/documents.go
@@ -63,7 +63,7 @@
 
 // Page is one page of publications.
 type Page struct {
-	Documents []core.Published
+	Documents []core.Publication
 	// Upto is the revision up to which the page is complete. It is lower than
 	// the revision asked for when the platform is stale.
 	Upto ids.Revision
@@ -109,7 +109,7 @@
 			return Page{}, ErrOrder
 		}
 		last = d.Revision
-		p := core.Published{Key: d.Key, Revision: d.Revision}
+		p := core.Publication{Key: d.Key, Revision: d.Revision}
 		if d.Value != nil {
 			p.Value = []byte(*d.Value)
 		}
--- a/internal/documents/documents_test.go
+++ b/internal/documents/documents_test.go
@@ -34,7 +34,7 @@
 	page, err := c.Documents(context.Background(), 3, true)
 	assert.NilError(t, err)
 	assert.Equal(t, query, "/v1/documents?after=3&wait=3")
-	assert.DeepEqual(t, page, Page{Upto: 5, More: true, Documents: []core.Published{
+	assert.DeepEqual(t, page, Page{Upto: 5, More: true, Documents: []core.Publication{
 		{Key: "service/x", Revision: 4, Value: []byte("a")}, {Key: "profile/y", Revision: 5}}})
 }
 
--- a/internal/experiment/corenode.go
+++ b/internal/experiment/corenode.go
@@ -74,11 +74,11 @@
 func (n *coreNode) effect(e *core.Effect) {
 	switch e.Kind {
 	case core.ToCaller:
-		n.toCaller(decode(&e.Out))
+		n.toCaller(decode(&e.Datagram))
 	case core.ToBackend:
 		n.toBackend(e)
 	case core.ToPeer:
-		n.toPeer(e.Instance, e.Peer)
+		n.toPeer(e.Instance, e.PeerMessage)
 	case core.CheckHealth:
 		if b := n.c.backendOf(e.Target); b != nil {
 			n.c.check(n.self, b)
@@ -112,7 +112,7 @@
 func (n *coreNode) arrive(r *request) {
 	m := r.datagram(n.c)
 	n.call(func(now ids.Time, out *core.Effects) {
-		n.core.Caller(now, &core.CallerEvent{Service: serviceName, Caller: callerAddress(r.caller), Message: m}, out)
+		n.core.HandleCaller(now, &core.CallerEvent{Service: serviceName, Caller: callerAddress(r.caller), Message: m}, out)
 	})
 }
 
@@ -133,7 +133,7 @@
 		n.c.after(2*callerDelay, func() {
 			if in := n.c.spray(); !in.dead {
 				in.node.(*coreNode).call(func(now ids.Time, out *core.Effects) {
-					in.node.(*coreNode).core.Caller(now, &core.CallerEvent{Service: serviceName, Caller: callerAddress(r.caller), Message: ack}, out)
+					in.node.(*coreNode).core.HandleCaller(now, &core.CallerEvent{Service: serviceName, Caller: callerAddress(r.caller), Message: ack}, out)
 				})
 			}
 		})
@@ -153,10 +153,10 @@
 // toBackend delivers a datagram to a backend server.
 func (n *coreNode) toBackend(e *core.Effect) {
 	b := n.c.backendOf(e.Target)
-	if b == nil || e.Out.Type == message.Acknowledgement {
+	if b == nil || e.Datagram.Type == message.Acknowledgement {
 		return
 	}
-	m := decode(&e.Out)
+	m := decode(&e.Datagram)
 	key := upstreamKey{e.Target, m.ID}
 	if m.Type == message.Reset {
 		if j := n.jobs[key]; j != nil {
@@ -167,19 +167,19 @@
 	if n.jobs[key] != nil {
 		return // a repeat of a request that the backend server has
 	}
-	r := n.c.byToken[parse(e.Out.Template).Token]
+	r := n.c.byToken[parse(e.Datagram.Template).Token]
 	if r == nil {
 		return
 	}
 	r.dispatched++
-	j := &job{run: r.run, expires: n.c.now.Add(time.Duration(e.Out.DeadlineMS) * time.Millisecond)}
+	j := &job{run: r.run, expires: n.c.now.Add(time.Duration(e.Datagram.DeadlineMS) * time.Millisecond)}
 	n.jobs[key] = j
 	acked := false
 	reply := func(o *message.Outgoing) {
 		got := decode(o)
 		n.c.after(backendDelay, func() {
 			n.call(func(now ids.Time, out *core.Effects) {
-				n.core.Backend(now, &core.BackendEvent{From: b.target.Address, Message: got}, out)
+				n.core.HandleBackend(now, &core.BackendEvent{From: b.target.Address, Message: got}, out)
 			})
 		})
 	}
@@ -224,14 +224,14 @@
 	}
 	e := &core.PeerEvent{Message: got}
 	if got.Relay != nil {
-		e.Relayed = parse(got.Relay.Datagram)
+		e.RelayedDatagram = parse(got.Relay.Datagram)
 	}
-	n.call(func(now ids.Time, out *core.Effects) { n.core.Peer(now, e, out) })
+	n.call(func(now ids.Time, out *core.Effects) { n.core.HandlePeer(now, e, out) })
 }
 
 func (n *coreNode) health(b *backend, healthy bool) {
 	n.call(func(now ids.Time, out *core.Effects) {
-		n.core.Health(now, &core.HealthEvent{Service: serviceName, Target: b.target.Name, Healthy: healthy, Load: -1}, out)
+		n.core.HandleHealth(now, &core.HealthEvent{Service: serviceName, Target: b.target.Name, Healthy: healthy, Load: -1}, out)
 	})
 }
 
--- a/internal/experiment/platform.go
+++ b/internal/experiment/platform.go
@@ -13,8 +13,8 @@
 // platform is the configuration service of the model.
 type platform struct {
 	c         *cluster
-	published *config.Resolved // the last publication
-	documents []core.Published // latest of each key
+	published *config.Resolved   // the last publication
+	documents []core.Publication // latest of each key
 	revision  ids.Revision
 	watches   []watch
 }
@@ -34,10 +34,10 @@
 	}
 	p.published = r
 	p.revision++
-	profile := core.Published{Key: "profile/" + r.Profile.Name, Revision: p.revision, Value: []byte(profileText(&r.Profile))}
+	profile := core.Publication{Key: "profile/" + r.Profile.Name, Revision: p.revision, Value: []byte(profileText(&r.Profile))}
 	p.revision++
-	service := core.Published{Key: "service/" + string(r.Service.Name), Revision: p.revision, Value: []byte(serviceText(&r.Service))}
-	p.documents = []core.Published{profile, service}
+	service := core.Publication{Key: "service/" + string(r.Service.Name), Revision: p.revision, Value: []byte(serviceText(&r.Service))}
+	p.documents = []core.Publication{profile, service}
 	pending := p.watches
 	p.watches = nil
 	for _, w := range pending {
@@ -55,14 +55,14 @@
 }
 
 func (p *platform) respond(n *coreNode, after ids.Revision) {
-	e := &core.ConfigEvent{Upto: p.revision}
+	e := &core.ConfigEvent{Revision: p.revision}
 	for _, d := range p.documents {
 		if d.Revision > after {
 			e.Documents = append(e.Documents, d)
 		}
 	}
 	p.c.after(platformDelay, func() {
-		n.call(func(now ids.Time, out *core.Effects) { n.core.Config(now, e, out) })
+		n.call(func(now ids.Time, out *core.Effects) { n.core.HandleConfig(now, e, out) })
 	})
 }
 
--- a/internal/proof/caller_test.go
+++ b/internal/proof/caller_test.go
@@ -184,7 +184,7 @@
 		}
 		w.call(n, func(c *core.Core, out *core.Effects) {
 			before := c.Counts().UnknownService
-			c.Caller(n.now(), &core.CallerEvent{Service: x.op.service, Caller: x.op.caller, Message: m}, out)
+			c.HandleCaller(n.now(), &core.CallerEvent{Service: x.op.service, Caller: x.op.caller, Message: m}, out)
 			if c.Counts().UnknownService > before {
 				x.lost = true // without configuration the instance has no socket for the service
 			}
--- a/internal/proof/platform_test.go
+++ b/internal/proof/platform_test.go
@@ -27,7 +27,7 @@
 // platform is the fake configuration service. Documents have a global revision.
 type platform struct {
 	w         *world
-	documents []core.Published // in order of revision, all publications
+	documents []core.Publication // in order of revision, all publications
 	down      bool
 	staleAt   ids.Revision // serves the state of this revision; 0: current
 	published []publication
@@ -59,7 +59,7 @@
 // publish adds a document; good tells whether instances should accept it.
 func (p *platform) publish(key, value string, good bool) ids.Revision {
 	r := ids.Revision(len(p.documents) + 1)
-	p.documents = append(p.documents, core.Published{Key: key, Revision: r, Value: []byte(value)})
+	p.documents = append(p.documents, core.Publication{Key: key, Revision: r, Value: []byte(value)})
 	if good {
 		p.published = append(p.published, publication{revision: r, at: p.w.now})
 	}
@@ -97,7 +97,7 @@
 	if !r.done && r.n.run == r.run {
 		r.done = true
 		p.w.call(r.n, func(c *core.Core, out *core.Effects) {
-			c.Config(r.n.now(), &core.ConfigEvent{Err: errors.New("platform unreachable")}, out)
+			c.HandleConfig(r.n.now(), &core.ConfigEvent{Err: errors.New("platform unreachable")}, out)
 		})
 	}
 }
@@ -111,9 +111,9 @@
 		return
 	}
 	r.done = true
-	e := &core.ConfigEvent{Upto: p.revision()}
+	e := &core.ConfigEvent{Revision: p.revision()}
 	latest := map[string]int{}
-	for _, d := range p.documents[:e.Upto] {
+	for _, d := range p.documents[:e.Revision] {
 		if d.Revision <= r.after {
 			continue
 		}
@@ -128,7 +128,7 @@
 		latest[d.Key] = len(e.Documents)
 		e.Documents = append(e.Documents, d)
 	}
-	p.w.call(r.n, func(c *core.Core, out *core.Effects) { c.Config(r.n.now(), e, out) })
+	p.w.call(r.n, func(c *core.Core, out *core.Effects) { c.HandleConfig(r.n.now(), e, out) })
 }
 
 // services are the services of the model.
@@ -180,7 +180,7 @@
 			e.Instances = append(e.Instances, entry)
 		}
 		if !w.platform.cutOff(n) {
-			w.call(n, func(c *core.Core, out *core.Effects) { c.Instances(n.now(), e, out) })
+			w.call(n, func(c *core.Core, out *core.Effects) { c.HandleInstances(n.now(), e, out) })
 		}
 	}
 }
--- a/internal/proof/server_test.go
+++ b/internal/proof/server_test.go
@@ -260,7 +260,7 @@
 
 func (w *world) fromBackend(n *node, v *server, m *message.Message) {
 	w.call(n, func(c *core.Core, out *core.Effects) {
-		c.Backend(n.now(), &core.BackendEvent{From: v.at, Message: m}, out)
+		c.HandleBackend(n.now(), &core.BackendEvent{From: v.at, Message: m}, out)
 	})
 }
 
@@ -349,7 +349,7 @@
 	}
 	run := n.run
 	w.after(d, func() {
-		e := &core.HealthEvent{Service: s, Target: t, Load: -1, Took: d, Healthy: v.alive, Draining: v.alive && v.draining}
+		e := &core.HealthEvent{Service: s, Target: t, Load: -1, Duration: d, Healthy: v.alive, Draining: v.alive && v.draining}
 		switch v.health {
 		case lyingHealthy:
 			e.Healthy, e.Draining = true, false
@@ -357,7 +357,7 @@
 			e.Healthy = false
 		}
 		if n.run == run {
-			w.call(n, func(c *core.Core, out *core.Effects) { c.Health(n.now(), e, out) })
+			w.call(n, func(c *core.Core, out *core.Effects) { c.HandleHealth(n.now(), e, out) })
 		}
 	})
 }
--- a/internal/proof/world_test.go
+++ b/internal/proof/world_test.go
@@ -234,11 +234,11 @@
 func (w *world) effect(n *node, e *core.Effect) {
 	switch e.Kind {
 	case core.ToCaller:
-		w.toCaller(n, e.Service, e.Endpoint, decode(&e.Out))
+		w.toCaller(n, e.Service, e.Endpoint, decode(&e.Datagram))
 	case core.ToBackend:
-		w.toBackend(n, e.Endpoint, decode(&e.Out))
+		w.toBackend(n, e.Endpoint, decode(&e.Datagram))
 	case core.ToPeer:
-		w.toPeer(n, e.Instance, e.Peer)
+		w.toPeer(n, e.Instance, e.PeerMessage)
 	case core.CheckHealth:
 		w.checkHealth(n, e.Service, e.Target, e.URL)
 	case core.WatchConfig:
@@ -320,12 +320,12 @@
 		}
 		e := &core.PeerEvent{Message: got}
 		if got.Relay != nil {
-			e.Relayed = parse(got.Relay.Datagram)
+			e.RelayedDatagram = parse(got.Relay.Datagram)
 			if x != nil {
 				x.touch(target)
 			}
 		}
-		w.call(target, func(c *core.Core, out *core.Effects) { c.Peer(target.now(), e, out) })
+		w.call(target, func(c *core.Core, out *core.Effects) { c.HandlePeer(target.now(), e, out) })
 	})
 }
 
