--- a/internal/core/feed.go
+++ b/internal/core/feed.go
@@ -105,20 +105,20 @@
 // registration, if any.
 func (c *Core) registerNext(f *flow.Feed, target ids.Target, endpoint ids.Endpoint) {
 	token, id := c.newUpstream(upstream{feed: f})
-	f.Next = flow.Upstream{Token: token, ID: id, Target: target, Endpoint: endpoint, Asked: c.now}
+	f.Next = flow.Upstream{Token: token, ID: id, Target: target, Endpoint: endpoint, CreatedAt: c.now}
 	c.register(f, &f.Next)
 }
 
 func (c *Core) newRegistrationID(f *flow.Feed, up *flow.Upstream) {
 	delete(c.exchanges, up.ID)
 	c.nextID++
-	up.ID, up.Acked, up.Tries = c.nextID, false, 0
+	up.ID, up.Acked, up.Transmissions = c.nextID, false, 0
 	c.exchanges[up.ID] = up.Token
 }
 
 func (c *Core) register(f *flow.Feed, up *flow.Upstream) {
-	up.Sent = c.now
-	up.Tries++
+	up.LastSent = c.now
+	up.Transmissions++
 	e := c.emit(ToBackend)
 	e.Service, e.Target, e.Endpoint = f.Service, up.Target, up.Endpoint
 	e.Out = message.Outgoing{Template: f.Request, Type: message.Confirmable, ID: up.ID, Token: tokenOf(up.Token), SetObserve: true}
@@ -167,7 +167,7 @@
 		c.notObserved(f, up, m)
 		return
 	}
-	if !up.Newer(c.now, m.Observe) && !(f.Pending.Present && up.Same(m.Observe)) {
+	if !up.AcceptIfNewer(c.now, m.Observe) && !(f.Pending.Present && up.IsLatest(m.Observe)) {
 		c.counts.OldNotifications++
 		return
 	}
@@ -175,7 +175,7 @@
 	if up == &f.Next {
 		c.promote(f)
 	}
-	f.Heard, f.MaxAge, f.Silent = c.now, time.Duration(m.MaxAge)*time.Second, 0
+	f.LastNotification, f.MaxAge, f.Reregistrations = c.now, time.Duration(m.MaxAge)*time.Second, 0
 	c.notify(f, m)
 }
 
@@ -203,11 +203,11 @@
 		return
 	}
 	o.Type, o.ID, o.Token = message.Confirmable, f.NextID(), f.Token
-	if m.Type == message.NonConfirmable && c.now.Sub(f.Checked) < checkCaller {
+	if m.Type == message.NonConfirmable && c.now.Sub(f.LastConfirmable) < checkCaller {
 		o.Type = message.NonConfirmable
 	} else if q := c.confirm(s, f.Caller, &o); q != nil {
 		q.isFeed, q.feed = true, f.Key
-		f.Checked = c.now
+		f.LastConfirmable = c.now
 	} else {
 		o.Type = message.NonConfirmable
 	}
@@ -246,10 +246,10 @@
 
 // replace starts a second registration of f that is to replace the active one.
 func (c *Core) replace(f *flow.Feed, elsewhere bool) {
-	if f.Next.Token != 0 || c.now < f.Retry {
+	if f.Next.Token != 0 || c.now < f.RetryAt {
 		return
 	}
-	f.Retry = c.now.Add(feedRetry)
+	f.RetryAt = c.now.Add(feedRetry)
 	if !elsewhere {
 		c.registerNext(f, f.Active.Target, f.Active.Endpoint)
 		return
@@ -272,19 +272,19 @@
 	if up == &f.Active {
 		// Until the next notification the feed counts as quiet, so that it is
 		// replaced again if the next target fails as well.
-		f.Heard, f.MaxAge = 0, 0
+		f.LastNotification, f.MaxAge = 0, 0
 		c.replace(f, true)
 		return
 	}
 	failedTarget := up.Target
 	c.deregister(f, up, o)
-	f.Silent++
+	f.Reregistrations++
 	if f.Active.Established {
-		f.Retry = c.now.Add(feedRetry)
+		f.RetryAt = c.now.Add(feedRetry)
 		return
 	}
 	pool := c.table.Pool(f.Service)
-	if pool != nil && f.Silent < maxTargets {
+	if pool != nil && f.Reregistrations < maxTargets {
 		if target, endpoint, ok := pool.OpenFeed(c.now, failedTarget); ok {
 			c.registerNext(f, target, endpoint)
 			return
--- a/internal/core/feedmove.go
+++ b/internal/core/feedmove.go
@@ -35,9 +35,9 @@
 	if f.Pending.Present && f.Active.Token != 0 {
 		c.checkRegistration(f, &f.Active)
 	}
-	if f.Quiet(c.now) && c.now >= f.Retry {
-		c.replace(f, f.Silent > 0)
-		f.Silent++
+	if f.Overdue(c.now) && c.now >= f.RetryAt {
+		c.replace(f, f.Reregistrations > 0)
+		f.Reregistrations++
 	} else if pool := c.table.Pool(f.Service); pool != nil && pool.Leaving(f.Active.Target) {
 		c.replace(f, true)
 	}
@@ -46,10 +46,10 @@
 
 // checkRegistration sends a registration again, or gives it up.
 func (c *Core) checkRegistration(f *flow.Feed, up *flow.Upstream) {
-	if c.now.Sub(up.Sent) < registerTimeout {
+	if c.now.Sub(up.LastSent) < registerTimeout {
 		return
 	}
-	if up.Tries < registerTries {
+	if up.Transmissions < registerTries {
 		c.register(f, up)
 		return
 	}
@@ -63,16 +63,16 @@
 func (c *Core) checkHome(f *flow.Feed, s *service) {
 	home, ok := c.home(s, ids.HashEndpoint(f.Caller))
 	if !ok || home == c.self.ID {
-		f.Moving = ""
+		f.MovingTo = ""
 		return
 	}
 	if !f.Active.Established || c.stop.phase == running && c.now.Sub(f.Created) < moveAfter ||
-		f.Moving == home && c.now.Sub(f.Asked) < moveAfter {
+		f.MovingTo == home && c.now.Sub(f.MoveSentAt) < moveAfter {
 		return
 	}
-	f.Moving, f.Asked = home, c.now
+	f.MovingTo, f.MoveSentAt = home, c.now
 	b := c.peer(s)
-	b.message.FeedMove = f.Move()
+	b.message.FeedMove = f.HandoverRecord()
 	c.send(home, b)
 	for _, q := range c.confirmList {
 		if q.isFeed && q.feed == f.Key {
@@ -95,7 +95,7 @@
 		return
 	}
 	c.refresh(s)
-	f, fresh, err := c.feeds.Take(c.now, m)
+	f, fresh, err := c.feeds.AcceptHandover(c.now, m)
 	switch {
 	case err != nil:
 		c.counts.Malformed++
@@ -122,7 +122,7 @@
 
 func (c *Core) feedMoved(to ids.Instance, k flow.Key, refused bool) {
 	b := c.peer(c.services[k.Service])
-	b.message.FeedMoved = flow.Moved(k, refused)
+	b.message.FeedMoved = flow.HandoverReply(k, refused)
 	c.send(to, b)
 }
 
@@ -134,7 +134,7 @@
 		return
 	}
 	f := c.feeds.Get(k)
-	if f == nil || f.Moving != from || m.Refused {
+	if f == nil || f.MovingTo != from || m.Refused {
 		return // after a refusal the home is asked again
 	}
 	c.counts.FeedsMoved++
--- a/internal/core/respond.go
+++ b/internal/core/respond.go
@@ -139,7 +139,7 @@
 		return
 	}
 	if f := c.feeds.Get(q.feed); f != nil {
-		f.Failed = 0
+		f.UnackedNotifications = 0
 		if reset {
 			c.endFeed(f)
 		}
@@ -181,7 +181,7 @@
 	if f == nil {
 		return
 	}
-	if f.Failed++; f.Failed >= flow.MaxFailed {
+	if f.UnackedNotifications++; f.UnackedNotifications >= flow.MaxUnacked {
 		c.endFeed(f)
 	}
 }
--- a/internal/fanout/source_test.go
+++ b/internal/fanout/source_test.go
@@ -317,7 +317,7 @@
 	u := follow.Update{Complete: true, Revision: 7, Age: 3, AfterOutage: true, Config: &passthrough.Config{Version: 3},
 		Targets: []*follow.Target{{Name: "i-1234567890", Revision: 9, Record: passthrough.TargetRecord{Name: "i-1234567890", Identity: 1 << 39,
 			Service: "counter12a", Address: passthrough.Endpoint{IP: [4]byte{10, 1, 2, 3}, Port: 8080}, DataCentre: "gnr-a", Slots: 2, Draining: true,
-			Cold: time.Second, Born: 1 << 41}}, {Name: "i-2", Removed: true, Unreadable: true}}}
+			SlowStart: time.Second, StartedAt: 1 << 41}}, {Name: "i-2", Removed: true, Unreadable: true}}}
 	data, err := cbor.Marshal(&u)
 	assert.NilError(t, err)
 	assert.Assert(t, len(data) <= 300, "%d bytes", len(data))
--- a/internal/flow/feed.go
+++ b/internal/flow/feed.go
@@ -16,10 +16,10 @@
 	// exceed the notifications of that time.
 	SequenceGap = 1 << 12
 	// SilenceMargin is added to Max-Age before a feed counts as silent.
-	SilenceMargin = 5 * time.Second
+	OverdueMargin = 5 * time.Second
 	// MaxFailed is the number of confirmable notifications in a row that may
 	// stay without an ACK before the feed ends.
-	MaxFailed = 3
+	MaxUnacked = 3
 
 	sequenceMask = 1<<24 - 1
 	// idMask selects the message ids of notifications. Separate responses use
@@ -43,22 +43,22 @@
 // Upstream is one registration of a feed at a backend server. The zero value
 // is no registration.
 type Upstream struct {
-	Token       uint64
-	Target      ids.Target
-	Endpoint    ids.Endpoint
-	ID          uint16 // message id of the registration
-	Established bool   // a notification has arrived
-	Acked       bool   // the backend server has received the registration
-	Asked       ids.Time
-	Sent        ids.Time // last transmission of the registration
-	Tries       int
-	observe     uint32
-	heard       ids.Time
+	Token         uint64
+	Target        ids.Target
+	Endpoint      ids.Endpoint
+	ID            uint16 // message id of the registration
+	Established   bool   // a notification has arrived
+	Acked         bool   // the backend server has received the registration
+	CreatedAt     ids.Time
+	LastSent      ids.Time // last transmission of the registration
+	Transmissions int
+	observe       uint32
+	heard         ids.Time
 }
 
 // Newer reports whether a notification with Observe value v is newer than all
 // before it, and records it if so (RFC 7641 section 3.4).
-func (u *Upstream) Newer(now ids.Time, v uint32) bool {
+func (u *Upstream) AcceptIfNewer(now ids.Time, v uint32) bool {
 	if u.heard != 0 && !sequenceNewer(u.observe, v) && now.Sub(u.heard) <= reorderWindow {
 		return false
 	}
@@ -68,7 +68,7 @@
 
 // Same reports whether v is the latest Observe value. A backend server may
 // repeat it in response to a repeated registration.
-func (u *Upstream) Same(v uint32) bool { return u.heard != 0 && u.observe == v }
+func (u *Upstream) IsLatest(v uint32) bool { return u.heard != 0 && u.observe == v }
 
 func sequenceNewer(old, v uint32) bool {
 	d := (v - old) & sequenceMask
@@ -90,23 +90,23 @@
 // while Next is present, Active keeps delivering until Next is established.
 type Feed struct {
 	Key
-	Request   []byte // the registration datagram
-	Active    Upstream
-	Next      Upstream // replacement that is being established
-	Pending   Pending
-	Sequence  uint32 // last Observe value sent to the caller
-	Heard     ids.Time
-	MaxAge    time.Duration
-	Silent    int // registrations repeated since the last notification
-	Failed    int // confirmable notifications in a row without ACK
-	Retry     ids.Time
-	Moving    ids.Instance // new home that was asked to take the feed
-	Asked     ids.Time     // when it was asked last
-	MovedFrom ids.Instance // old home that waits for FeedMoved
-	Created   ids.Time
-	Checked   ids.Time // last confirmable notification
-	flow      *shared
-	index     int
+	Request              []byte // the registration datagram
+	Active               Upstream
+	Next                 Upstream // replacement that is being established
+	Pending              Pending
+	Sequence             uint32 // last Observe value sent to the caller
+	LastNotification     ids.Time
+	MaxAge               time.Duration
+	Reregistrations      int // registrations repeated since the last notification
+	UnackedNotifications int // confirmable notifications in a row without ACK
+	RetryAt              ids.Time
+	MovingTo             ids.Instance // new home that was asked to take the feed
+	MoveSentAt           ids.Time     // when it was asked last
+	MovedFrom            ids.Instance // old home that waits for FeedMoved
+	Created              ids.Time
+	LastConfirmable      ids.Time // last confirmable notification
+	flow                 *shared
+	index                int
 }
 
 // shared is what the feeds of one flow have in common.
@@ -129,8 +129,8 @@
 }
 
 // Quiet reports whether no notification has arrived for Max-Age plus the margin.
-func (f *Feed) Quiet(now ids.Time) bool {
-	return f.Active.Established && now.Sub(f.Heard) > f.MaxAge+SilenceMargin
+func (f *Feed) Overdue(now ids.Time) bool {
+	return f.Active.Established && now.Sub(f.LastNotification) > f.MaxAge+OverdueMargin
 }
 
 // ResponseID returns the message id for a separate response at time now. It is
--- a/internal/flow/flow_test.go
+++ b/internal/flow/flow_test.go
@@ -21,11 +21,11 @@
 // the 24-bit value too.
 func TestNewerRejectsReorderedNotifications(t *testing.T) {
 	var u Upstream
-	assert.Assert(t, u.Newer(1, 1<<24-2))
-	assert.Assert(t, u.Newer(2, 1))
-	assert.Assert(t, !u.Newer(3, 1))
-	assert.Assert(t, !u.Newer(3, 1<<24-1))
-	assert.Assert(t, u.Newer(ids.Time(129*time.Second), 0))
+	assert.Assert(t, u.AcceptIfNewer(1, 1<<24-2))
+	assert.Assert(t, u.AcceptIfNewer(2, 1))
+	assert.Assert(t, !u.AcceptIfNewer(3, 1))
+	assert.Assert(t, !u.AcceptIfNewer(3, 1<<24-1))
+	assert.Assert(t, u.AcceptIfNewer(ids.Time(129*time.Second), 0))
 }
 
 // Guards against a handover after which the caller sees older Observe values
@@ -37,8 +37,8 @@
 		f.NextSequence()
 		f.NextID()
 	}
-	m := f.Move()
-	g, fresh, err := next.Take(2, m)
+	m := f.HandoverRecord()
+	g, fresh, err := next.AcceptHandover(2, m)
 	assert.NilError(t, err)
 	assert.Assert(t, fresh)
 	assert.Equal(t, g.Key, f.Key)
@@ -48,11 +48,11 @@
 		assert.Assert(t, sequenceNewer(f.NextSequence(), sequence))
 		assert.Assert(t, f.NextID() != id)
 	}
-	h, fresh, err := next.Take(3, m)
+	h, fresh, err := next.AcceptHandover(3, m)
 	assert.NilError(t, err)
 	assert.Assert(t, !fresh && h == g)
 	m.Caller = "nowhere"
-	_, _, err = next.Take(3, m)
+	_, _, err = next.AcceptHandover(3, m)
 	assert.Assert(t, err != nil)
 }
 
@@ -71,7 +71,7 @@
 	})
 	assert.Equal(t, len(seen), 9)
 	assert.Equal(t, tab.Len(), 4)
-	assert.Assert(t, tab.Has(key(1).FlowKey))
+	assert.Assert(t, tab.HasFlow(key(1).FlowKey))
 }
 
 // Guards against a cache that grows without bound, and against the expiry of
--- a/internal/flow/handover.go
+++ b/internal/flow/handover.go
@@ -16,7 +16,7 @@
 )
 
 // Move returns the handover record of f.
-func (f *Feed) Move() *peerwire.FeedMove {
+func (f *Feed) HandoverRecord() *peerwire.FeedMove {
 	return &peerwire.FeedMove{
 		Service:  f.Service,
 		Caller:   f.Caller.String(),
@@ -29,7 +29,7 @@
 }
 
 // Moved returns the reply to the old home of the feed with key k.
-func Moved(k Key, refused bool) *peerwire.FeedMoved {
+func HandoverReply(k Key, refused bool) *peerwire.FeedMoved {
 	return &peerwire.FeedMoved{Service: k.Service, Caller: k.Caller.String(), Token: tokenBytes(k.Token), Refused: refused}
 }
 
@@ -49,7 +49,7 @@
 
 // Take enters the feed that m hands over. If the feed exists already, as after
 // two homes held it, its sequence is raised above that of the other.
-func (t *Table) Take(now ids.Time, m *peerwire.FeedMove) (f *Feed, fresh bool, err error) {
+func (t *Table) AcceptHandover(now ids.Time, m *peerwire.FeedMove) (f *Feed, fresh bool, err error) {
 	k, err := ParseKey(m.Service, m.Caller, m.Token)
 	if err != nil {
 		return nil, false, err
@@ -64,7 +64,7 @@
 		}
 		return f, false, nil
 	}
-	first := !t.Has(k.FlowKey)
+	first := !t.HasFlow(k.FlowKey)
 	f = t.Add(now, k, m.Request)
 	f.Sequence = sequence
 	if first {
--- a/internal/flow/table.go
+++ b/internal/flow/table.go
@@ -23,12 +23,12 @@
 func (t *Table) Get(k Key) *Feed { return t.feeds[k] }
 
 // Has reports whether a feed of the flow exists.
-func (t *Table) Has(k ids.FlowKey) bool { return t.flows[k] != nil }
+func (t *Table) HasFlow(k ids.FlowKey) bool { return t.flows[k] != nil }
 
 // Add enters a feed for the registration datagram request, which it copies.
 // No feed with key k may exist.
 func (t *Table) Add(now ids.Time, k Key, request []byte) *Feed {
-	f := &Feed{Key: k, Request: append([]byte(nil), request...), index: len(t.list), Created: now, Heard: now, Checked: now}
+	f := &Feed{Key: k, Request: append([]byte(nil), request...), index: len(t.list), Created: now, LastNotification: now, LastConfirmable: now}
 	s := t.flows[k.FlowKey]
 	if s == nil {
 		s = &shared{nextID: startID(now)}
--- a/internal/forwarder/check.go
+++ b/internal/forwarder/check.go
@@ -33,7 +33,7 @@
 	_, ok := f.checker.pool.TrySubmit(func() {
 		result := platform.CheckHealth(ctx, k, checkTimeout)
 		f.metrics.checks.WithLabelValues(result.String()).Inc()
-		f.run(ctx, func() { f.core.Checked(f.clock.now(), k, began, result) })
+		f.run(ctx, func() { f.core.ReportCheck(f.clock.now(), k, began, result) })
 	})
 	if !ok {
 		f.log.Warn("check-left-out", "target", k.Target) // the next suspicion asks again
--- a/internal/forwarder/forward.go
+++ b/internal/forwarder/forward.go
@@ -27,7 +27,7 @@
 		n, _, err := f.conn.ReadFromUDPAddrPort(packet)
 		if err == nil {
 			f.packet(buffer[:platform.Headroom+n])
-			f.core.Checks(func(k passthrough.Check) { f.check(ctx, k) })
+			f.core.TakeChecks(func(k passthrough.Check) { f.check(ctx, k) })
 			continue
 		}
 		switch {
@@ -64,26 +64,26 @@
 	now := f.clock.now()
 	f.updatedAt = now.Add(-u.Age)
 	if u.AfterOutage {
-		f.core.PlatformBack(now)
+		f.core.PlatformRecovered(now)
 	}
 	if u.Config != nil {
-		f.core.Config(u.Config)
+		f.core.ApplyConfig(u.Config)
 	}
 	var present []*passthrough.TargetRecord // of a complete update
 	for _, t := range u.Targets {
 		switch {
 		case t.Unreadable:
-			f.core.Disregard(now, t.Name)
+			f.core.RemoveUnreadable(now, t.Name)
 		case t.Removed:
-			f.core.Remove(now, t.Name)
+			f.core.RemoveTarget(now, t.Name)
 		case u.Complete:
 			present = append(present, &t.Record)
 		default:
-			f.core.Put(now, &t.Record)
+			f.core.PutTarget(now, &t.Record)
 		}
 	}
 	if u.Complete {
-		f.core.Replace(now, present)
+		f.core.ReplaceTargets(now, present)
 	}
 	f.core.Tick(now)
 	if f.core.Version() != 0 {
@@ -103,10 +103,10 @@
 		return
 	}
 	f.core.Tick(now)
-	d := f.core.Packet(now, &p)
+	d := f.core.HandlePacket(now, &p)
 	switch d.Verdict {
 	case passthrough.Forward:
-		if d.Reason != passthrough.Known {
+		if d.Reason != passthrough.KnownCookie {
 			platform.SetCookie(packet, d.Cookie)
 		}
 		platform.AddressTo(datagram, d.Identity)
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -118,12 +118,12 @@
 	_ = conn.SetWriteBuffer(socketBuffer)
 	f.metrics = newMetrics(f)
 	f.core = passthrough.New(passthrough.Settings{
-		DataCentre: s.DataCentre,
-		Regions:    s.Regions,
-		MaxFlows:   maxFlows(s.MemoryBytes),
-		FlowLife:   s.FlowLife,
-		Heartbeat:  s.Heartbeat,
-		Seed:       ids.Hash(string(s.Instance)) ^ uint64(time.Now().UnixNano()),
+		DataCentre:        s.DataCentre,
+		Regions:           s.Regions,
+		MaxFlows:          maxFlows(s.MemoryBytes),
+		FlowLifetime:      s.FlowLife,
+		HeartbeatInterval: s.Heartbeat,
+		Seed:              ids.Hash(string(s.Instance)) ^ uint64(time.Now().UnixNano()),
 	})
 	return f, nil
 }
--- a/internal/forwarder/metrics.go
+++ b/internal/forwarder/metrics.go
@@ -14,7 +14,7 @@
 	registry                           *prometheus.Registry
 	malformed, readErrors, writeErrors prometheus.Counter
 	suspected, trusted, lapsed         prometheus.Counter
-	packets                            [passthrough.Reasons]prometheus.Counter
+	packets                            [passthrough.NumReasons]prometheus.Counter
 	adopted, stalled                   prometheus.Counter
 	forwarding, answered, served       prometheus.Histogram
 	calls, checks                      *prometheus.CounterVec
@@ -47,7 +47,7 @@
 	m.stalled = counter("repeated_data_packets_total", "Packets with request data that the caller repeats.")
 	packets := prometheus.NewCounterVec(prometheus.CounterOpts{Name: "arbutusdock_packets_total", Help: "Packets of callers by the input that decided."}, []string{"reason"})
 	m.registry.MustRegister(packets)
-	for r := range passthrough.Reason(passthrough.Reasons) {
+	for r := range passthrough.Reason(passthrough.NumReasons) {
 		m.packets[r] = packets.WithLabelValues(r.String())
 	}
 	m.calls = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "arbutusdock_news_total", Help: "Reads of what is published, by source and result."}, []string{"source", "result"})
@@ -85,14 +85,14 @@
 	if d.Adopted {
 		m.adopted.Inc()
 	}
-	if d.Stalled > 0 {
+	if d.StalledFor > 0 {
 		m.stalled.Inc()
 	}
-	if d.Answered > 0 {
-		m.answered.Observe(d.Answered.Seconds())
+	if d.HandshakeTime > 0 {
+		m.answered.Observe(d.HandshakeTime.Seconds())
 	}
-	if d.Served > 0 {
-		m.served.Observe(d.Served.Seconds())
+	if d.ResponseTime > 0 {
+		m.served.Observe(d.ResponseTime.Seconds())
 	}
 }
 
--- a/internal/forwarder/report.go
+++ b/internal/forwarder/report.go
@@ -49,7 +49,7 @@
 	switch {
 	case d.Reason == passthrough.Placed:
 		l = &f.placements
-	case d.Reason == passthrough.Known && !d.Adopted && d.Stalled == 0:
+	case d.Reason == passthrough.KnownCookie && !d.Adopted && d.StalledFor == 0:
 		return
 	}
 	ok, left := l.admit(now)
@@ -61,7 +61,7 @@
 	}
 	f.log.Info("flow", "decision", d.Reason.String(), "verdict", d.Verdict.String(), "caller", p.Flow.Caller, "to", p.Flow.Service,
 		"seq", p.Seq, "copy", copyNumber(p), "cookie", uint32(p.Cookie), "service", d.Service, "target", d.Target,
-		"busy", d.Busy, "remote", d.Remote, "adopted", d.Adopted, "stalled", d.Stalled.Round(time.Millisecond), "version", f.core.Version(), "news_age", now.Sub(f.updatedAt).Round(time.Millisecond))
+		"busy", d.ActiveRequests, "remote", d.Remote, "adopted", d.Adopted, "stalled", d.StalledFor.Round(time.Millisecond), "version", f.core.Version(), "news_age", now.Sub(f.updatedAt).Round(time.Millisecond))
 }
 
 // copyNumber returns which copy of an opening packet p is, 0 for the first and
@@ -75,10 +75,10 @@
 
 // logEvents writes a line for each change of what the core believes.
 func (f *Forwarder) logEvents() {
-	f.core.Events(func(e passthrough.Event) {
+	f.core.TakeEvents(func(e passthrough.Event) {
 		switch e.Kind {
 		case passthrough.ConfigApplied:
-			f.log.Info(e.Kind.String(), "version", e.Version, "old", e.Old, "routes", e.Count)
+			f.log.Info(e.Kind.String(), "version", e.Version, "old", e.OldVersion, "routes", e.Routes)
 		case passthrough.TargetChanged:
 			f.log.Info(e.Kind.String(), "target", e.Target, "service", e.Service, "state", e.Reason, "address", e.Address)
 		default:
--- a/internal/forwarder/trace.go
+++ b/internal/forwarder/trace.go
@@ -25,14 +25,14 @@
 // took. Packets within a step have no name.
 func hopOf(d *passthrough.Decision) (string, time.Duration) {
 	switch {
-	case d.Reason != passthrough.Known:
+	case d.Reason != passthrough.KnownCookie:
 		return d.Reason.String(), 0
-	case d.Answered > 0:
-		return "opened", d.Answered
-	case d.Served > 0:
-		return "served", d.Served
-	case d.Stalled > 0:
-		return "stalled", d.Stalled
+	case d.HandshakeTime > 0:
+		return "opened", d.HandshakeTime
+	case d.ResponseTime > 0:
+		return "served", d.ResponseTime
+	case d.StalledFor > 0:
+		return "stalled", d.StalledFor
 	case d.Adopted:
 		return "adopted", 0
 	}
--- a/internal/passthrough/bench_test.go
+++ b/internal/passthrough/bench_test.go
@@ -11,11 +11,11 @@
 
 // benchCore has n targets of one service, in ten data centres.
 func benchCore(n int) *Core {
-	c := New(Settings{DataCentre: "a", MaxFlows: 1 << 15, FlowLife: time.Minute, Seed: 1})
-	c.Config(testConfig(1))
+	c := New(Settings{DataCentre: "a", MaxFlows: 1 << 15, FlowLifetime: time.Minute, Seed: 1})
+	c.ApplyConfig(testConfig(1))
 	for i := range n {
 		r := record(i+1, "counter", ids.DataCentre(string(rune('a'+i%10))))
-		c.Put(origin, &r)
+		c.PutTarget(origin, &r)
 	}
 	return c
 }
@@ -32,9 +32,9 @@
 				i++
 				now = now.Add(20 * time.Microsecond)
 				f := flowOf(i%20000, counterAt)
-				d := c.Packet(now, syn(f, 0))
-				c.Packet(now, request(f, d.Cookie))
-				c.Packet(now, &Packet{Flow: f, Flags: FIN | ACK, Cookie: d.Cookie, Seq: 151, Ack: 900})
+				d := c.HandlePacket(now, syn(f, 0))
+				c.HandlePacket(now, request(f, d.Cookie))
+				c.HandlePacket(now, &Packet{Flow: f, Flags: FIN | ACK, Cookie: d.Cookie, Seq: 151, Ack: 900})
 			}
 		})
 	}
@@ -44,13 +44,13 @@
 func BenchmarkKnown(b *testing.B) {
 	c := benchCore(150)
 	f := flowOf(1, counterAt)
-	d := c.Packet(origin, syn(f, 0))
+	d := c.HandlePacket(origin, syn(f, 0))
 	p := request(f, d.Cookie)
 	b.ReportAllocs()
 	for b.Loop() {
 		p.Seq += 50
 		p.Ack += 10
-		c.Packet(origin, p)
+		c.HandlePacket(origin, p)
 	}
 }
 
@@ -70,7 +70,7 @@
 		targets := liveBytes()
 		for i := range 14000 {
 			f := flowOf(i, counterAt)
-			c.Packet(origin, syn(f, 0))
+			c.HandlePacket(origin, syn(f, 0))
 		}
 		flows := liveBytes()
 		config := testConfig(2)
@@ -78,7 +78,7 @@
 			at := Endpoint{IP: [4]byte{198, 19, byte(i >> 8), byte(i)}, Port: 443}
 			config.Routes = append(config.Routes, Route{Name: fmt.Sprint("r-", i), Address: at, Splits: []Split{{"counter", 1}}})
 		}
-		c.Config(config)
+		c.ApplyConfig(config)
 		routes := liveBytes()
 		b.ReportMetric(float64(targets-before)/29000, "B/target")
 		b.ReportMetric(float64(flows-targets)/14000, "B/flow")
@@ -95,8 +95,8 @@
 		r := record(77, "counter", "a")
 		for b.Loop() {
 			r.Draining = !r.Draining
-			c.Put(origin, &r)
-			c.Events(func(Event) {})
+			c.PutTarget(origin, &r)
+			c.TakeEvents(func(Event) {})
 		}
 	})
 	b.Run("config", func(b *testing.B) {
@@ -107,8 +107,8 @@
 		}
 		for b.Loop() {
 			config.Version++
-			c.Config(config)
-			c.Events(func(Event) {})
+			c.ApplyConfig(config)
+			c.TakeEvents(func(Event) {})
 		}
 	})
 	b.Run("tick", func(b *testing.B) {
--- a/internal/passthrough/core.go
+++ b/internal/passthrough/core.go
@@ -9,12 +9,12 @@
 
 // Settings of a Core.
 type Settings struct {
-	DataCentre ids.DataCentre    // own data centre
-	Regions    map[string]string // by data centre; one that is missing counts as near
-	MaxFlows   int               // flows remembered, FlowBytes each
-	FlowLife   time.Duration     // age after which a flow may be forgotten
-	Heartbeat  time.Duration     // interval at which targets renew their records
-	Seed       uint64            // of random choices
+	DataCentre        ids.DataCentre    // own data centre
+	Regions           map[string]string // by data centre; one that is missing counts as near
+	MaxFlows          int               // flows remembered, FlowBytes each
+	FlowLifetime      time.Duration     // age after which a flow may be forgotten
+	HeartbeatInterval time.Duration     // interval at which targets renew their records
+	Seed              uint64            // of random choices
 }
 
 // Core is the decision logic of one instance.
@@ -65,7 +65,7 @@
 
 // Reasons.
 const (
-	Known             Reason = iota // the cookie names the target
+	KnownCookie       Reason = iota // the cookie names the target
 	Placed                          // a new flow
 	Replaced                        // a copy of an opening packet goes to another target
 	Repeated                        // a copy of an opening packet goes to the same target
@@ -81,7 +81,7 @@
 )
 
 // Reasons is the number of reasons.
-const Reasons = int(reasons)
+const NumReasons = int(reasons)
 
 var reasonNames = [...]string{"known", "placed", "replaced", "repeated", "no_config", "no_route", "route_dropped", "no_target", "unknown_cookie", "no_cookie", "target_gone", "target_unreachable"}
 
@@ -91,28 +91,28 @@
 // addressed to Identity, with Cookie written into it if Reason is Placed,
 // Replaced or Repeated.
 type Decision struct {
-	Verdict  Verdict
-	Reason   Reason
-	Address  Endpoint
-	Identity uint64
-	Cookie   Cookie
-	Target   string      // name of the target, for logs
-	Service  ids.Service // for logs
-	Busy     int         // requests in progress at the target before a placement
-	Remote   bool        // the target is in another data centre
-	Adopted  bool        // the flow was not known here; it came from another instance
+	Verdict        Verdict
+	Reason         Reason
+	Address        Endpoint
+	Identity       uint64
+	Cookie         Cookie
+	Target         string      // name of the target, for logs
+	Service        ids.Service // for logs
+	ActiveRequests int         // requests in progress at the target before a placement
+	Remote         bool        // the target is in another data centre
+	Adopted        bool        // the flow was not known here; it came from another instance
 
 	// Answered is the time from an opening packet to the caller's packet that
 	// follows the answer, Served that from a request to the acknowledgement of
 	// the first answered byte. Both are 0 for other packets.
-	Answered, Served time.Duration
+	HandshakeTime, ResponseTime time.Duration
 	// Stalled is the time since a request whose data the caller repeats; 0 for
 	// other packets.
-	Stalled time.Duration
+	StalledFor time.Duration
 }
 
 // Packet decides about one packet of a caller.
-func (c *Core) Packet(now ids.Time, p *Packet) Decision {
+func (c *Core) HandlePacket(now ids.Time, p *Packet) Decision {
 	c.checkOpenings(now)
 	if p.opening() {
 		return c.open(now, p)
@@ -135,7 +135,7 @@
 		}
 		return Decision{Verdict: Reset, Reason: reason, Target: t.Name, Service: t.Service}
 	}
-	d := c.forward(t, Known)
+	d := c.forward(t, KnownCookie)
 	c.observe(now, p, t, &d)
 	return d
 }
@@ -154,7 +154,7 @@
 func (c *Core) forward(t *target, reason Reason) Decision {
 	return Decision{
 		Verdict: Forward, Reason: reason, Address: t.Address, Identity: t.Identity, Cookie: t.cookie,
-		Target: t.Name, Service: t.Service, Busy: t.busy, Remote: t.DataCentre != c.settings.DataCentre,
+		Target: t.Name, Service: t.Service, ActiveRequests: t.busy, Remote: t.DataCentre != c.settings.DataCentre,
 	}
 }
 
@@ -234,13 +234,13 @@
 	}
 	if f.state == flowOpening {
 		f.state, f.ack = flowOpen, p.Ack
-		d.Answered = now.Sub(f.forwarded)
+		d.HandshakeTime = now.Sub(f.forwarded)
 		c.alive(now, t)
 	}
 	if progress := int32(p.Ack - f.ack); progress > 0 && !p.Flags.Has(RST) {
 		f.ack = p.Ack
 		if f.busy {
-			d.Served = now.Sub(f.requested)
+			d.ResponseTime = now.Sub(f.requested)
 		}
 		c.alive(now, t)
 		c.finish(f, t)
@@ -269,7 +269,7 @@
 	if !f.busy || now.Sub(f.requested) < repeatTime {
 		return // its packets came out of order
 	}
-	d.Stalled = now.Sub(f.requested)
+	d.StalledFor = now.Sub(f.requested)
 	if t.repeats++; t.repeats >= 2 {
 		c.failed(now, t, f.requested, "data repeated")
 	}
--- a/internal/passthrough/core_test.go
+++ b/internal/passthrough/core_test.go
@@ -41,10 +41,10 @@
 
 // testCore has two counter targets and one slip target in the own data centre.
 func testCore() *Core {
-	c := New(Settings{DataCentre: "a", MaxFlows: 1 << 12, FlowLife: time.Minute, Heartbeat: time.Second, Seed: 1})
-	c.Config(testConfig(1))
+	c := New(Settings{DataCentre: "a", MaxFlows: 1 << 12, FlowLifetime: time.Minute, HeartbeatInterval: time.Second, Seed: 1})
+	c.ApplyConfig(testConfig(1))
 	for _, r := range []TargetRecord{record(1, "counter", "a"), record(2, "counter", "a"), record(3, "slips", "a")} {
-		c.Put(origin, &r)
+		c.PutTarget(origin, &r)
 	}
 	return c
 }
@@ -62,9 +62,9 @@
 
 func open(t *testing.T, c *Core, now ids.Time, f FlowKey) Decision {
 	t.Helper()
-	d := c.Packet(now, syn(f, 0))
+	d := c.HandlePacket(now, syn(f, 0))
 	assert.Equal(t, d.Verdict, Forward)
-	c.Packet(now.Add(10*ms), request(f, d.Cookie))
+	c.HandlePacket(now.Add(10*ms), request(f, d.Cookie))
 	return d
 }
 
@@ -76,16 +76,16 @@
 	d := open(t, c, origin, f)
 	draining := record(int(d.Identity-1000), "counter", "a")
 	draining.Draining = true
-	c.Put(origin.Add(time.Second), &draining)
-	c.Config(testConfig(2))
-	c.Disregard(origin.Add(2*time.Second), d.Target)
-	got := c.Packet(origin.Add(3*time.Second), request(f, d.Cookie))
+	c.PutTarget(origin.Add(time.Second), &draining)
+	c.ApplyConfig(testConfig(2))
+	c.RemoveUnreadable(origin.Add(2*time.Second), d.Target)
+	got := c.HandlePacket(origin.Add(3*time.Second), request(f, d.Cookie))
 	assert.Equal(t, got.Verdict, Forward)
 	assert.Equal(t, got.Identity, d.Identity)
-	other := New(Settings{DataCentre: "a", MaxFlows: 16, FlowLife: time.Minute})
-	other.Config(testConfig(2))
-	other.Put(origin, &draining)
-	got = other.Packet(origin, request(f, d.Cookie))
+	other := New(Settings{DataCentre: "a", MaxFlows: 16, FlowLifetime: time.Minute})
+	other.ApplyConfig(testConfig(2))
+	other.PutTarget(origin, &draining)
+	got = other.HandlePacket(origin, request(f, d.Cookie))
 	assert.Equal(t, got.Identity, d.Identity, "at an instance that has not seen the opening")
 }
 
@@ -94,15 +94,15 @@
 	c := testCore()
 	r := record(1, "counter", "a")
 	r.Draining = true
-	c.Put(origin, &r)
+	c.PutTarget(origin, &r)
 	for i := range 50 {
-		assert.Equal(t, c.Packet(origin, syn(flowOf(i, counterAt), 0)).Target, "counter-2")
+		assert.Equal(t, c.HandlePacket(origin, syn(flowOf(i, counterAt), 0)).Target, "counter-2")
 	}
-	c.Remove(origin, "counter-2")
-	assert.Equal(t, c.Packet(origin, syn(flowOf(99, counterAt), 0)).Reason, NoTarget)
+	c.RemoveTarget(origin, "counter-2")
+	assert.Equal(t, c.HandlePacket(origin, syn(flowOf(99, counterAt), 0)).Reason, NoTarget)
 	r.Draining = false
-	c.Put(origin, &r)
-	assert.Equal(t, c.Packet(origin, syn(flowOf(98, counterAt), 0)).Target, "counter-1", "the drain was withdrawn")
+	c.PutTarget(origin, &r)
+	assert.Equal(t, c.HandlePacket(origin, syn(flowOf(98, counterAt), 0)).Target, "counter-1", "the drain was withdrawn")
 }
 
 // Guards against a flow that reaches a target of another service, also when an
@@ -111,11 +111,11 @@
 	c := testCore()
 	reused := record(9, "slips", "a")
 	reused.Address = record(1, "counter", "a").Address
-	c.Remove(origin, "counter-1")
-	c.Put(origin, &reused)
+	c.RemoveTarget(origin, "counter-1")
+	c.PutTarget(origin, &reused)
 	for i := range 50 {
-		assert.Equal(t, c.Packet(origin, syn(flowOf(i, counterAt), 0)).Service, ids.Service("counter"))
-		assert.Equal(t, c.Packet(origin, syn(flowOf(i, slipsAt), 0)).Service, ids.Service("slips"))
+		assert.Equal(t, c.HandlePacket(origin, syn(flowOf(i, counterAt), 0)).Service, ids.Service("counter"))
+		assert.Equal(t, c.HandlePacket(origin, syn(flowOf(i, slipsAt), 0)).Service, ids.Service("slips"))
 	}
 }
 
@@ -127,23 +127,23 @@
 	d := open(t, c, origin, f)
 	newer := testConfig(5)
 	newer.Routes = newer.Routes[:1]
-	assert.Assert(t, c.Config(newer))
-	assert.Assert(t, !c.Config(testConfig(3)))
-	assert.Assert(t, !c.Config(testConfig(5)))
-	assert.Equal(t, c.Packet(origin, syn(flowOf(2, slipsAt), 0)).Reason, NoRoute)
-	assert.Equal(t, c.Packet(origin, request(f, d.Cookie)).Verdict, Reset, "its route was removed")
-	assert.Equal(t, c.Packet(origin, syn(flowOf(3, counterAt), 0)).Verdict, Forward)
+	assert.Assert(t, c.ApplyConfig(newer))
+	assert.Assert(t, !c.ApplyConfig(testConfig(3)))
+	assert.Assert(t, !c.ApplyConfig(testConfig(5)))
+	assert.Equal(t, c.HandlePacket(origin, syn(flowOf(2, slipsAt), 0)).Reason, NoRoute)
+	assert.Equal(t, c.HandlePacket(origin, request(f, d.Cookie)).Verdict, Reset, "its route was removed")
+	assert.Equal(t, c.HandlePacket(origin, syn(flowOf(3, counterAt), 0)).Verdict, Forward)
 }
 
 // Guards against a reset while the route may merely be unknown, or for packets
 // whose target is unknown: the target may be alive.
 func TestSilenceWithoutKnowledge(t *testing.T) {
-	c := New(Settings{DataCentre: "a", MaxFlows: 16, FlowLife: time.Minute})
-	assert.Equal(t, c.Packet(origin, syn(flowOf(1, counterAt), 0)), Decision{Reason: NoConfig})
-	assert.Equal(t, c.Packet(origin, request(flowOf(1, counterAt), 77)), Decision{Reason: UnknownCookie})
-	c.Config(testConfig(1))
-	assert.Equal(t, c.Packet(origin, request(flowOf(1, counterAt), 77)), Decision{Reason: UnknownCookie})
-	assert.Equal(t, c.Packet(origin, request(flowOf(1, counterAt), 0)), Decision{Reason: NoCookie})
+	c := New(Settings{DataCentre: "a", MaxFlows: 16, FlowLifetime: time.Minute})
+	assert.Equal(t, c.HandlePacket(origin, syn(flowOf(1, counterAt), 0)), Decision{Reason: NoConfig})
+	assert.Equal(t, c.HandlePacket(origin, request(flowOf(1, counterAt), 77)), Decision{Reason: UnknownCookie})
+	c.ApplyConfig(testConfig(1))
+	assert.Equal(t, c.HandlePacket(origin, request(flowOf(1, counterAt), 77)), Decision{Reason: UnknownCookie})
+	assert.Equal(t, c.HandlePacket(origin, request(flowOf(1, counterAt), 0)), Decision{Reason: NoCookie})
 }
 
 // Guards against two answers for one flow: a copy that arrives while the answer
@@ -151,11 +151,11 @@
 func TestCopyOfOpening(t *testing.T) {
 	c := testCore()
 	f := flowOf(1, counterAt)
-	first := c.Packet(origin, syn(f, 0))
-	early := c.Packet(origin.Add(50*ms), syn(f, 1))
+	first := c.HandlePacket(origin, syn(f, 0))
+	early := c.HandlePacket(origin.Add(50*ms), syn(f, 1))
 	assert.Equal(t, early.Target, first.Target)
 	assert.Equal(t, early.Reason, Repeated)
-	late := c.Packet(origin.Add(200*ms), syn(f, 1))
+	late := c.HandlePacket(origin.Add(200*ms), syn(f, 1))
 	assert.Equal(t, late.Reason, Replaced)
 	assert.Assert(t, late.Target != first.Target)
 }
@@ -164,18 +164,18 @@
 // against live targets that are taken out, and against dead ones that stay.
 func TestLapsedRecords(t *testing.T) {
 	c := testCore()
-	c.PlatformBack(origin)
-	c.Remove(origin.Add(100*ms), "counter-1")
-	c.Remove(origin.Add(100*ms), "counter-2")
-	assert.Equal(t, c.Packet(origin.Add(time.Second), syn(flowOf(1, counterAt), 0)).Verdict, Forward)
+	c.PlatformRecovered(origin)
+	c.RemoveTarget(origin.Add(100*ms), "counter-1")
+	c.RemoveTarget(origin.Add(100*ms), "counter-2")
+	assert.Equal(t, c.HandlePacket(origin.Add(time.Second), syn(flowOf(1, counterAt), 0)).Verdict, Forward)
 	r := record(1, "counter", "a")
-	c.Put(origin.Add(1500*ms), &r)
+	c.PutTarget(origin.Add(1500*ms), &r)
 	c.Tick(origin.Add(lapseGrace))
 	for i := range 20 {
-		assert.Equal(t, c.Packet(origin.Add(lapseGrace+ms), syn(flowOf(10+i, counterAt), 0)).Target, "counter-1")
+		assert.Equal(t, c.HandlePacket(origin.Add(lapseGrace+ms), syn(flowOf(10+i, counterAt), 0)).Target, "counter-1")
 	}
-	c.Remove(origin.Add(5*time.Second), "counter-1")
-	assert.Equal(t, c.Packet(origin.Add(5*time.Second), syn(flowOf(50, counterAt), 0)).Reason, NoTarget, "no outage before")
+	c.RemoveTarget(origin.Add(5*time.Second), "counter-1")
+	assert.Equal(t, c.HandlePacket(origin.Add(5*time.Second), syn(flowOf(50, counterAt), 0)).Reason, NoTarget, "no outage before")
 }
 
 // Pattern: a short peak on a service with targets in two data centres. Guards
@@ -184,12 +184,12 @@
 func TestOwnDataCentreFirst(t *testing.T) {
 	c := testCore()
 	remote := record(4, "counter", "b")
-	c.Put(origin, &remote)
+	c.PutTarget(origin, &remote)
 	away := 0
 	for i := range 60 {
 		f := flowOf(i, counterAt)
-		d := c.Packet(origin, syn(f, 0))
-		c.Packet(origin, request(f, d.Cookie))
+		d := c.HandlePacket(origin, syn(f, 0))
+		c.HandlePacket(origin, request(f, d.Cookie))
 		if d.Remote {
 			away++
 		}
@@ -203,17 +203,17 @@
 // Guards against flows to another region while the own one has room, and against
 // data centres without a region that count as far.
 func TestOwnRegionFirst(t *testing.T) {
-	c := New(Settings{DataCentre: "a", MaxFlows: 1 << 12, FlowLife: time.Minute, Seed: 1, Regions: map[string]string{"a": "r1", "b": "r1", "c": "r2"}})
-	c.Config(testConfig(1))
+	c := New(Settings{DataCentre: "a", MaxFlows: 1 << 12, FlowLifetime: time.Minute, Seed: 1, Regions: map[string]string{"a": "r1", "b": "r1", "c": "r2"}})
+	c.ApplyConfig(testConfig(1))
 	for n, dc := range []ids.DataCentre{"b", "c", "d"} {
 		r := record(n+1, "counter", dc)
-		c.Put(origin, &r)
+		c.PutTarget(origin, &r)
 	}
 	counts := map[string]int{}
 	for i := range 8 {
 		f := flowOf(i, counterAt)
-		d := c.Packet(origin, syn(f, 0))
-		c.Packet(origin, request(f, d.Cookie))
+		d := c.HandlePacket(origin, syn(f, 0))
+		c.HandlePacket(origin, request(f, d.Cookie))
 		counts[d.Target]++
 	}
 	assert.DeepEqual(t, counts, map[string]int{"counter-1": 4, "counter-3": 4})
@@ -227,22 +227,22 @@
 	for i := range 300 {
 		now = now.Add(5 * ms)
 		f := flowOf(i, counterAt)
-		d := c.Packet(now, syn(f, 0))
+		d := c.HandlePacket(now, syn(f, 0))
 		c.Tick(now)
 		if i%5 == 0 {
 			continue // never answered
 		}
 		p := request(f, d.Cookie)
-		c.Packet(now.Add(ms), p)
+		c.HandlePacket(now.Add(ms), p)
 		if i%5 == 1 {
 			continue // the caller disappears
 		}
-		c.Packet(now.Add(2*ms), &Packet{Flow: f, Flags: ACK, Cookie: d.Cookie, Seq: 151, Ack: 1500})
+		c.HandlePacket(now.Add(2*ms), &Packet{Flow: f, Flags: ACK, Cookie: d.Cookie, Seq: 151, Ack: 1500})
 		if i%5 == 2 {
-			c.Packet(now.Add(3*ms), &Packet{Flow: f, Flags: RST, Cookie: d.Cookie, Seq: 151, Ack: 1500})
+			c.HandlePacket(now.Add(3*ms), &Packet{Flow: f, Flags: RST, Cookie: d.Cookie, Seq: 151, Ack: 1500})
 			continue
 		}
-		c.Packet(now.Add(3*ms), &Packet{Flow: f, Flags: FIN | ACK, Cookie: d.Cookie, Seq: 151, Ack: 1500})
+		c.HandlePacket(now.Add(3*ms), &Packet{Flow: f, Flags: FIN | ACK, Cookie: d.Cookie, Seq: 151, Ack: 1500})
 	}
 	for range 10 * 60 {
 		now = now.Add(sweepEvery)
@@ -257,10 +257,10 @@
 
 // Guards against a table that grows beyond its limit.
 func TestFlowTableIsBounded(t *testing.T) {
-	c := New(Settings{DataCentre: "a", MaxFlows: 100, FlowLife: time.Minute})
-	c.Config(testConfig(1))
+	c := New(Settings{DataCentre: "a", MaxFlows: 100, FlowLifetime: time.Minute})
+	c.ApplyConfig(testConfig(1))
 	r := record(1, "counter", "a")
-	c.Put(origin, &r)
+	c.PutTarget(origin, &r)
 	for i := range 1000 {
 		open(t, c, origin.Add(time.Duration(i)*ms), flowOf(i, counterAt))
 	}
@@ -276,15 +276,15 @@
 	f := flowOf(1, slipsAt)
 	d := open(t, c, origin, f)
 	again := record(3, "slips", "a")
-	again.Born = 7
-	c.Put(origin.Add(time.Second), &again)
+	again.StartedAt = 7
+	c.PutTarget(origin.Add(time.Second), &again)
 	assert.Equal(t, c.targets.byName["slips-3"].flows, 0)
-	got := c.Packet(origin.Add(2*time.Second), request(f, d.Cookie))
+	got := c.HandlePacket(origin.Add(2*time.Second), request(f, d.Cookie))
 	assert.Equal(t, got.Verdict, Forward, "the new incarnation tells the caller that it does not know the flow")
 	for i := range 100 {
 		r := record(100+i, "slips", "a")
-		c.Put(origin.Add(2*time.Second), &r)
-		c.Remove(origin.Add(3*time.Second), r.Name)
+		c.PutTarget(origin.Add(2*time.Second), &r)
+		c.RemoveTarget(origin.Add(3*time.Second), r.Name)
 	}
 	c.Tick(origin.Add(3*time.Second + time.Minute))
 	assert.Equal(t, len(c.targets.byName), 3)
@@ -305,20 +305,20 @@
 // must agree.
 func TestCookieCollision(t *testing.T) {
 	older, younger := record(1, "counter", "a"), record(2, "counter", "a")
-	older.Identity, older.Born = 0x1_0000_0005, 100
-	younger.Identity, younger.Born = 0x2_0000_0006, 200
+	older.Identity, older.StartedAt = 0x1_0000_0005, 100
+	younger.Identity, younger.StartedAt = 0x2_0000_0006, 200
 	assert.Equal(t, cookieOf(older.Identity), cookieOf(younger.Identity))
 	for _, order := range [][]TargetRecord{{older, younger}, {younger, older}} {
-		c := New(Settings{DataCentre: "a", MaxFlows: 1 << 12, FlowLife: time.Minute, Seed: 1})
-		c.Config(testConfig(1))
-		c.Put(origin, &order[0])
-		c.Put(origin, &order[1])
+		c := New(Settings{DataCentre: "a", MaxFlows: 1 << 12, FlowLifetime: time.Minute, Seed: 1})
+		c.ApplyConfig(testConfig(1))
+		c.PutTarget(origin, &order[0])
+		c.PutTarget(origin, &order[1])
 		for i := range 20 {
-			assert.Equal(t, c.Packet(origin, syn(flowOf(i, counterAt), 0)).Target, older.Name)
+			assert.Equal(t, c.HandlePacket(origin, syn(flowOf(i, counterAt), 0)).Target, older.Name)
 		}
-		c.Remove(origin, older.Name)
+		c.RemoveTarget(origin, older.Name)
 		c.Tick(origin.Add(time.Minute))
-		assert.Equal(t, c.Packet(origin.Add(time.Minute), syn(flowOf(1, counterAt), 0)).Target, younger.Name)
+		assert.Equal(t, c.HandlePacket(origin.Add(time.Minute), syn(flowOf(1, counterAt), 0)).Target, younger.Name)
 	}
 }
 
@@ -334,16 +334,16 @@
 // Guards against callers that wait for their time-out although the service has no
 // target, and against a reset while live targets may be back in a moment.
 func TestServiceWithoutTargets(t *testing.T) {
-	c := New(Settings{DataCentre: "a", MaxFlows: 16, FlowLife: time.Minute})
-	c.Config(testConfig(1))
+	c := New(Settings{DataCentre: "a", MaxFlows: 16, FlowLifetime: time.Minute})
+	c.ApplyConfig(testConfig(1))
 	verdict := func(after time.Duration) Verdict {
-		return c.Packet(origin.Add(after), syn(flowOf(1, counterAt), 0)).Verdict
+		return c.HandlePacket(origin.Add(after), syn(flowOf(1, counterAt), 0)).Verdict
 	}
 	assert.Equal(t, verdict(time.Hour), Drop, "targets are not known yet")
-	c.Replace(origin.Add(time.Hour), nil)
+	c.ReplaceTargets(origin.Add(time.Hour), nil)
 	assert.Equal(t, verdict(time.Hour+lapseGrace-ms), Drop)
 	assert.Equal(t, verdict(time.Hour+lapseGrace), Reset)
-	c.PlatformBack(origin.Add(2 * time.Hour))
+	c.PlatformRecovered(origin.Add(2 * time.Hour))
 	assert.Equal(t, verdict(2*time.Hour+lapseGrace-ms), Drop)
 	assert.Equal(t, verdict(2*time.Hour+lapseGrace), Reset)
 }
--- a/internal/passthrough/event.go
+++ b/internal/passthrough/event.go
@@ -26,14 +26,14 @@
 // Event is one change of what a core believes. Fields that do not belong to its
 // kind are zero.
 type Event struct {
-	Kind         EventKind
-	Target       string
-	Service      ids.Service
-	Address      Endpoint
-	Reason       string        // new state of the target, why it is suspected, or the outcome of a check
-	Age          time.Duration // of the evidence
-	Version, Old uint64        // of the configuration
-	Count        int           // routes
+	Kind                EventKind
+	Target              string
+	Service             ids.Service
+	Address             Endpoint
+	Reason              string        // new state of the target, why it is suspected, or the outcome of a check
+	Age                 time.Duration // of the evidence
+	Version, OldVersion uint64        // of the configuration
+	Routes              int           // routes
 }
 
 // eventLimit bounds the events between two calls of Events, so that a core
@@ -47,7 +47,7 @@
 }
 
 // Events calls f with each event since the last call.
-func (c *Core) Events(f func(Event)) {
+func (c *Core) TakeEvents(f func(Event)) {
 	for _, e := range c.events {
 		f(e)
 	}
--- a/internal/passthrough/inspect.go
+++ b/internal/passthrough/inspect.go
@@ -90,7 +90,7 @@
 			set(Drop, UnknownCookie)
 			break
 		}
-		set(Forward, Known)
+		set(Forward, KnownCookie)
 		e.Target, e.Service = t.Name, t.Service
 	default:
 		e.Service = route.service(flow)
--- a/internal/passthrough/learn.go
+++ b/internal/passthrough/learn.go
@@ -23,7 +23,7 @@
 
 // Config puts a version of the configuration in force, unless it is not newer
 // than the present one.
-func (c *Core) Config(config *Config) bool {
+func (c *Core) ApplyConfig(config *Config) bool {
 	old := c.routes.version
 	if !c.routes.apply(config) {
 		return false
@@ -33,7 +33,7 @@
 			delete(c.lengths, to)
 		}
 	}
-	c.note(Event{Kind: ConfigApplied, Version: config.Version, Old: old, Count: len(config.Routes)})
+	c.note(Event{Kind: ConfigApplied, Version: config.Version, OldVersion: old, Routes: len(config.Routes)})
 	return true
 }
 
@@ -41,7 +41,7 @@
 func (c *Core) Version() uint64 { return c.routes.version }
 
 // Put records what a target has published.
-func (c *Core) Put(now ids.Time, r *TargetRecord) {
+func (c *Core) PutTarget(now ids.Time, r *TargetRecord) {
 	t, changed := c.targets.put(now, r)
 	if changed {
 		c.note(Event{Kind: TargetChanged, Target: t.Name, Service: t.Service, Reason: c.lifecycle(t), Address: t.Address})
@@ -53,7 +53,7 @@
 // Remove records that a target's record has disappeared from the platform.
 // Shortly after an outage of the platform the record may merely have lapsed;
 // then the target stays in use for a while.
-func (c *Core) Remove(now ids.Time, name string) {
+func (c *Core) RemoveTarget(now ids.Time, name string) {
 	t := c.targets.byName[name]
 	if t == nil || t.lifecycle.State() == chart.BackendGone || t.missingSince != 0 {
 		return
@@ -68,7 +68,7 @@
 
 // Disregard records that the entry of a target cannot be read any more. The
 // target gets no new flows, but it may be alive.
-func (c *Core) Disregard(now ids.Time, name string) {
+func (c *Core) RemoveUnreadable(now ids.Time, name string) {
 	if t := c.targets.byName[name]; t != nil && t.lifecycle.State() != chart.BackendGone {
 		c.remove(now, t)
 		t.ended = false
@@ -80,7 +80,7 @@
 func (c *Core) remove(now ids.Time, t *target) {
 	c.targets.remove(t)
 	t.ended = t.Draining || !c.outlived(now, t)
-	c.gone = append(c.gone, removal{t.Name, t.Born, now})
+	c.gone = append(c.gone, removal{t.Name, t.StartedAt, now})
 	c.note(Event{Kind: TargetChanged, Target: t.Name, Service: t.Service, Reason: c.lifecycle(t), Address: t.Address})
 }
 
@@ -91,29 +91,29 @@
 // outlived reports whether a target has shown a sign of life after the first
 // heartbeat that it missed: then it was not dead but cut off from the platform.
 func (c *Core) outlived(now ids.Time, t *target) bool {
-	return t.lastLife != 0 && now.Sub(t.lastLife) < heartbeatsMissed*c.settings.Heartbeat
+	return t.lastLife != 0 && now.Sub(t.lastLife) < heartbeatsMissed*c.settings.HeartbeatInterval
 }
 
 // Replace records a complete list of targets. Those that are not in it are
 // removed.
-func (c *Core) Replace(now ids.Time, list []*TargetRecord) {
+func (c *Core) ReplaceTargets(now ids.Time, list []*TargetRecord) {
 	if c.learned == 0 {
 		c.learned = now
 	}
 	present := make(map[string]bool, len(list))
 	for _, r := range list {
 		present[r.Name] = true
-		c.Put(now, r)
+		c.PutTarget(now, r)
 	}
 	for _, t := range c.targets.slots {
 		if t != nil && !present[t.Name] {
-			c.Remove(now, t.Name)
+			c.RemoveTarget(now, t.Name)
 		}
 	}
 }
 
 // PlatformBack records that the platform answers again after an outage.
-func (c *Core) PlatformBack(now ids.Time) { c.outageEnd = now }
+func (c *Core) PlatformRecovered(now ids.Time) { c.outageEnd = now }
 
 // Tick does the work that is due with the passage of time. It is to be called
 // at least every sweepEvery while there are flows.
@@ -141,10 +141,10 @@
 	}
 	// A flow lives at most FlowLife, so that after it no cookie names a target
 	// that was removed.
-	for len(c.gone) > 0 && now.Sub(c.gone[0].at) >= c.settings.FlowLife {
+	for len(c.gone) > 0 && now.Sub(c.gone[0].at) >= c.settings.FlowLifetime {
 		r := c.gone[0]
 		c.gone = c.gone[1:]
-		if t := c.targets.byName[r.name]; t != nil && t.Born == r.born && t.lifecycle.State() == chart.BackendGone {
+		if t := c.targets.byName[r.name]; t != nil && t.StartedAt == r.born && t.lifecycle.State() == chart.BackendGone {
 			c.targets.forget(t)
 		}
 	}
@@ -162,7 +162,7 @@
 			continue
 		}
 		idle := now.Sub(f.lastSeen)
-		if idle > c.routes.idle && c.routes.idle > 0 || idle > c.settings.FlowLife || (f.state == flowOpening && idle > openingLife) {
+		if idle > c.routes.idle && c.routes.idle > 0 || idle > c.settings.FlowLifetime || (f.state == flowOpening && idle > openingLife) {
 			c.release(f)
 			continue
 		}
--- a/internal/passthrough/load_test.go
+++ b/internal/passthrough/load_test.go
@@ -93,8 +93,8 @@
 	s := &simulation{now: origin, rng: rand.New(rand.NewPCG(seed, 2)), cores: map[ids.DataCentre][]*Core{}, targets: map[string]*simTarget{}}
 	for _, dc := range simDataCentres {
 		for i := range instances[dc] {
-			c := New(Settings{DataCentre: dc, MaxFlows: 1 << 14, FlowLife: time.Minute, Seed: uint64(i + 1)})
-			c.Config(testConfig(1))
+			c := New(Settings{DataCentre: dc, MaxFlows: 1 << 14, FlowLifetime: time.Minute, Seed: uint64(i + 1)})
+			c.ApplyConfig(testConfig(1))
 			c.SetInstances(instances[dc])
 			s.cores[dc] = append(s.cores[dc], c)
 		}
@@ -107,7 +107,7 @@
 			s.targets[r.Name] = &simTarget{name: r.Name}
 			for _, list := range s.cores {
 				for _, c := range list {
-					c.Put(origin, &r)
+					c.PutTarget(origin, &r)
 				}
 			}
 		}
@@ -140,7 +140,7 @@
 func (s *simulation) short(c *Core, f FlowKey) {
 	s.open(c, f, 0, func(d Decision) {
 		s.request(c, f, d, 101, 501, s.now, func() {
-			c.Packet(s.now, &Packet{Flow: f, Flags: FIN | ACK, Cookie: d.Cookie, Seq: 151, Ack: 900})
+			c.HandlePacket(s.now, &Packet{Flow: f, Flags: FIN | ACK, Cookie: d.Cookie, Seq: 151, Ack: 900})
 		})
 	})
 }
@@ -165,7 +165,7 @@
 // open sends an opening packet and its copies.
 func (s *simulation) open(c *Core, f FlowKey, number uint32, then func(Decision)) {
 	c.Tick(s.now)
-	d := c.Packet(s.now, syn(f, number))
+	d := c.HandlePacket(s.now, syn(f, number))
 	if d.Remote {
 		s.remote++
 	}
@@ -187,7 +187,7 @@
 // request sends a request and runs it at the target.
 func (s *simulation) request(c *Core, f FlowKey, d Decision, seq, ack uint32, begin ids.Time, done func()) {
 	s.asked++
-	c.Packet(s.now, &Packet{Flow: f, Flags: ACK, Cookie: d.Cookie, Seq: seq, Ack: ack, Length: 50})
+	c.HandlePacket(s.now, &Packet{Flow: f, Flags: ACK, Cookie: d.Cookie, Seq: seq, Ack: ack, Length: 50})
 	t := s.targets[d.Target]
 	work := time.Duration(float64(simWork) * math.Exp(0.5*s.rng.NormFloat64()-0.125))
 	tailed := s.rng.Float64() < simTail
@@ -200,7 +200,7 @@
 	}
 	answer := func() {
 		s.after(simHop, func() {
-			c.Packet(s.now, &Packet{Flow: f, Flags: ACK, Cookie: d.Cookie, Seq: seq + 50, Ack: ack + 800})
+			c.HandlePacket(s.now, &Packet{Flow: f, Flags: ACK, Cookie: d.Cookie, Seq: seq + 50, Ack: ack + 800})
 			if s.now.Sub(begin) > simAim && !tailed {
 				s.late++
 			}
@@ -362,9 +362,9 @@
 		fresh := &simTarget{name: "counter-9", slow: 3}
 		s.targets[fresh.name] = fresh
 		r := record(9, "counter", "a")
-		r.Cold = 2 * time.Second
+		r.SlowStart = 2 * time.Second
 		for _, c := range s.cores["a"] {
-			c.Put(s.now, &r)
+			c.PutTarget(s.now, &r)
 		}
 		s.after(2*time.Second, func() { fresh.slow = 0 })
 	})
@@ -408,9 +408,9 @@
 		var answer func()
 		answer = func() {
 			for _, c := range s.cores["a"] {
-				c.Checks(func(k Check) {
+				c.TakeChecks(func(k Check) {
 					checks++
-					c.Checked(s.now, k, s.now, CheckAnswered)
+					c.ReportCheck(s.now, k, s.now, CheckAnswered)
 				})
 			}
 			if s.now.Sub(origin) < simEnd {
--- a/internal/passthrough/random_test.go
+++ b/internal/passthrough/random_test.go
@@ -27,7 +27,7 @@
 func newWorld(t *rapid.T) *world {
 	w := &world{t: t, now: origin, opened: map[FlowKey]Decision{}}
 	for i := range 3 {
-		w.cores = append(w.cores, New(Settings{DataCentre: []ids.DataCentre{"a", "b", "b"}[i], MaxFlows: 64, FlowLife: time.Hour, Seed: uint64(i)}))
+		w.cores = append(w.cores, New(Settings{DataCentre: []ids.DataCentre{"a", "b", "b"}[i], MaxFlows: 64, FlowLifetime: time.Hour, Seed: uint64(i)}))
 		w.told = append(w.told, map[string]TargetRecord{})
 		w.removed = append(w.removed, map[string]bool{})
 		w.version = append(w.version, 0)
@@ -43,7 +43,7 @@
 	n := rapid.IntRange(1, 8).Draw(w.t, "target")
 	r := record(n, []ids.Service{"counter", "slips"}[n%2], []ids.DataCentre{"a", "b"}[n/2%2])
 	r.Draining = rapid.Bool().Draw(w.t, "draining")
-	w.cores[i].Put(w.now, &r)
+	w.cores[i].PutTarget(w.now, &r)
 	delete(w.removed[i], r.Name)
 	delete(w.told[i], r.Name)
 	if !r.Draining {
@@ -55,7 +55,7 @@
 	i := w.core()
 	n := rapid.IntRange(1, 8).Draw(w.t, "target")
 	name := record(n, []ids.Service{"counter", "slips"}[n%2], "a").Name
-	w.cores[i].Remove(w.now, name)
+	w.cores[i].RemoveTarget(w.now, name)
 	if _, ok := w.cores[i].targets.byName[name]; ok {
 		w.removed[i][name] = true
 	}
@@ -68,7 +68,7 @@
 	if rapid.Bool().Draw(w.t, "drop") {
 		c.Routes = c.Routes[:1]
 	}
-	accepted := w.cores[i].Config(c)
+	accepted := w.cores[i].ApplyConfig(c)
 	if accepted != (c.Version > w.version[i]) {
 		w.t.Fatalf("version %d after %d: accepted %v", c.Version, w.version[i], accepted)
 	}
@@ -92,7 +92,7 @@
 	}
 	w.next++
 	f := flowOf(w.next, to)
-	d := w.cores[i].Packet(w.now, syn(f, 0))
+	d := w.cores[i].HandlePacket(w.now, syn(f, 0))
 	switch {
 	case w.version[i] == 0:
 		assert.Equal(w.t, d.Verdict, Drop)
@@ -103,7 +103,7 @@
 		r, ok := w.told[i][d.Target]
 		assert.Assert(w.t, ok, "target %s is draining, gone or unknown", d.Target)
 		assert.Equal(w.t, r.Service, service)
-		w.cores[i].Packet(w.now.Add(ms), request(f, d.Cookie))
+		w.cores[i].HandlePacket(w.now.Add(ms), request(f, d.Cookie))
 		w.opened[f] = d
 	default:
 		assert.Equal(w.t, d.Reason, NoTarget)
@@ -121,7 +121,7 @@
 		i := w.core()
 		p := &Packet{Flow: f, Flags: ACK, Cookie: d.Cookie, Seq: uint32(rapid.IntRange(101, 400).Draw(w.t, "seq")),
 			Ack: uint32(rapid.IntRange(501, 900).Draw(w.t, "ack")), Length: rapid.IntRange(0, 100).Draw(w.t, "length")}
-		got := w.cores[i].Packet(w.now, p)
+		got := w.cores[i].HandlePacket(w.now, p)
 		switch got.Verdict {
 		case Forward:
 			assert.Equal(w.t, got.Identity, d.Identity)
--- a/internal/passthrough/target.go
+++ b/internal/passthrough/target.go
@@ -16,8 +16,8 @@
 	DataCentre ids.DataCentre `cbor:"5,keyasint,omitempty"`
 	Slots      int            `cbor:"6,keyasint,omitempty"` // requests that it runs at a time
 	Draining   bool           `cbor:"7,keyasint,omitempty"`
-	Cold       time.Duration  `cbor:"8,keyasint,omitempty"` // how much longer it is slow after its start
-	Born       int64          `cbor:"9,keyasint,omitempty"` // start of this incarnation, Unix milliseconds; 0 if not published
+	SlowStart  time.Duration  `cbor:"8,keyasint,omitempty"` // how much longer it is slow after its start
+	StartedAt  int64          `cbor:"9,keyasint,omitempty"` // start of this incarnation, Unix milliseconds; 0 if not published
 }
 
 // target is the state kept of one backend server.
@@ -72,7 +72,7 @@
 func (t *target) unanswerable(now ids.Time, p *Packet) (Reason, bool) {
 	switch {
 	case p.Flags.Has(RST):
-		return Known, false
+		return KnownCookie, false
 	case t.replaced:
 		return TargetGone, true
 	case now.Before(t.unreachableUntil):
@@ -118,7 +118,7 @@
 // counters differ from the present record.
 func (tt *targetTable) put(now ids.Time, r *TargetRecord) (t *target, changed bool) {
 	t = tt.byName[r.Name]
-	if t != nil && t.Born != r.Born {
+	if t != nil && t.StartedAt != r.StartedAt {
 		// The same name after a restart knows nothing of the flows before.
 		tt.forget(t)
 		t = nil
@@ -137,7 +137,7 @@
 		t.replaced, t.unreachableUntil = false, 0 // it has written since
 	}
 	t.missingSince, t.ended = 0, false
-	t.coldUntil = now.Add(r.Cold)
+	t.coldUntil = now.Add(r.SlowStart)
 	switch {
 	case r.Draining:
 		t.lifecycle.Fire(chart.BackendDrain)
@@ -208,8 +208,8 @@
 }
 
 func (t *target) olderThan(o *target) bool {
-	if t.Born != o.Born {
-		return t.Born < o.Born
+	if t.StartedAt != o.StartedAt {
+		return t.StartedAt < o.StartedAt
 	}
 	return t.Identity < o.Identity
 }
--- a/internal/passthrough/trust.go
+++ b/internal/passthrough/trust.go
@@ -89,7 +89,7 @@
 		return
 	}
 	t.checkedAt = now
-	k := Check{Target: t.Name, Born: t.Born, Address: t.Address, Path: path}
+	k := Check{Target: t.Name, StartedAt: t.StartedAt, Address: t.Address, Path: path}
 	if r := c.reference(t); r != nil {
 		k.Reference, k.ReferencePath = r.Address, c.routes.health[r.Service]
 	}
@@ -132,10 +132,10 @@
 // Check is a health check of a suspected target that the caller of the core
 // is to carry out.
 type Check struct {
-	Target  string
-	Born    int64
-	Address Endpoint
-	Path    string
+	Target    string
+	StartedAt int64
+	Address   Endpoint
+	Path      string
 	// Reference is the address of a target that has answered lately. Without an
 	// answer of its own within the same time the check shows nothing about Target:
 	// this instance or its link is short of time. Its port is 0 when there is none.
@@ -144,7 +144,7 @@
 }
 
 // Checks calls f with each health check that is due since the last call.
-func (c *Core) Checks(f func(Check)) {
+func (c *Core) TakeChecks(f func(Check)) {
 	for _, k := range c.checks {
 		f(k)
 	}
@@ -175,9 +175,9 @@
 // Checked records the outcome of a check that began at a time. A target counts
 // as out of reach only if others have shown signs of life meanwhile; without
 // these this instance itself may be cut off.
-func (c *Core) Checked(now ids.Time, k Check, began ids.Time, result CheckResult) {
+func (c *Core) ReportCheck(now ids.Time, k Check, began ids.Time, result CheckResult) {
 	t := c.targets.byName[k.Target]
-	if t == nil || t.Born != k.Born || t.lastLife >= began {
+	if t == nil || t.StartedAt != k.StartedAt || t.lastLife >= began {
 		return
 	}
 	switch {
--- a/internal/passthrough/trust_test.go
+++ b/internal/passthrough/trust_test.go
@@ -11,23 +11,23 @@
 // still go there after its first unanswered opening.
 func TestSilentTargetIsAvoided(t *testing.T) {
 	c := testCore()
-	silent := c.Packet(origin, syn(flowOf(1, counterAt), 0)).Target
+	silent := c.HandlePacket(origin, syn(flowOf(1, counterAt), 0)).Target
 	now := origin.Add(answerTime)
 	for i := range 40 {
 		now = now.Add(5 * ms)
 		f := flowOf(100+i, counterAt)
-		d := c.Packet(now, syn(f, 0))
+		d := c.HandlePacket(now, syn(f, 0))
 		assert.Assert(t, d.Target != silent, "flow %d", i)
-		c.Packet(now.Add(ms), request(f, d.Cookie))
+		c.HandlePacket(now.Add(ms), request(f, d.Cookie))
 	}
 	retry := 0
 	for i := range 40 {
 		now = now.Add(50 * ms)
 		f := flowOf(200+i, counterAt)
-		if d := c.Packet(now, syn(f, 0)); d.Target == silent {
+		if d := c.HandlePacket(now, syn(f, 0)); d.Target == silent {
 			retry++
 		} else {
-			c.Packet(now.Add(ms), request(f, d.Cookie))
+			c.HandlePacket(now.Add(ms), request(f, d.Cookie))
 		}
 	}
 	assert.Assert(t, retry >= 1 && retry <= 3, "%d tries in 2 s", retry)
@@ -37,11 +37,11 @@
 func TestSignOfLifeEndsSuspicion(t *testing.T) {
 	c := testCore()
 	f := flowOf(1, counterAt)
-	d := c.Packet(origin, syn(f, 0))
+	d := c.HandlePacket(origin, syn(f, 0))
 	c.Tick(origin.Add(answerTime))
 	target := c.targets.byName[d.Target]
 	assert.Assert(t, target.suspected(origin.Add(answerTime)))
-	c.Packet(origin.Add(300*ms), request(f, d.Cookie))
+	c.HandlePacket(origin.Add(300*ms), request(f, d.Cookie))
 	assert.Assert(t, !target.suspected(origin.Add(300*ms)))
 }
 
@@ -51,7 +51,7 @@
 	now := origin
 	for i := range 10 {
 		now = now.Add(answerTime)
-		assert.Equal(t, c.Packet(now, syn(flowOf(i, counterAt), 0)).Verdict, Forward)
+		assert.Equal(t, c.HandlePacket(now, syn(flowOf(i, counterAt), 0)).Verdict, Forward)
 	}
 }
 
@@ -65,39 +65,39 @@
 		change func(c *Core, name string)
 		want   Verdict
 	}{
-		"crashed":     {func(c *Core, name string) { c.Remove(later, name) }, Reset},
+		"crashed":     {func(c *Core, name string) { c.RemoveTarget(later, name) }, Reset},
 		"not removed": {func(*Core, string) {}, Forward},
-		"overwritten": {func(c *Core, name string) { c.Disregard(later, name) }, Forward},
+		"overwritten": {func(c *Core, name string) { c.RemoveUnreadable(later, name) }, Forward},
 		"overwritten, complete list": {func(c *Core, name string) {
-			c.Disregard(later, name)
-			c.Replace(later, nil)
+			c.RemoveUnreadable(later, name)
+			c.ReplaceTargets(later, nil)
 		}, Forward},
 		"answering": {func(c *Core, name string) {
 			c.alive(later.Add(-1900*ms), c.targets.byName[name])
-			c.Remove(later, name)
+			c.RemoveTarget(later, name)
 		}, Forward},
 		"crashed between two heartbeats": {func(c *Core, name string) {
 			c.alive(later.Add(-2000*ms), c.targets.byName[name])
-			c.Remove(later, name)
+			c.RemoveTarget(later, name)
 		}, Reset},
 		"left": {func(c *Core, name string) {
 			c.targets.byName[name].Draining = true
 			c.alive(later.Add(-time.Second), c.targets.byName[name])
-			c.Remove(later, name)
+			c.RemoveTarget(later, name)
 		}, Reset},
 		"lapsed in an outage": {func(c *Core, name string) {
-			c.PlatformBack(later)
-			c.Remove(later, name)
+			c.PlatformRecovered(later)
+			c.RemoveTarget(later, name)
 		}, Forward},
 		"missing after an outage": {func(c *Core, name string) {
-			c.PlatformBack(later.Add(-time.Minute))
-			c.Remove(later.Add(-time.Minute), name)
+			c.PlatformRecovered(later.Add(-time.Minute))
+			c.RemoveTarget(later.Add(-time.Minute), name)
 			c.Tick(later)
 		}, Reset},
 		"back again": {func(c *Core, name string) {
 			r := c.targets.byName[name].TargetRecord
-			c.Remove(later, name)
-			c.Put(later, &r)
+			c.RemoveTarget(later, name)
+			c.PutTarget(later, &r)
 		}, Forward},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -105,9 +105,9 @@
 			f := flowOf(1, counterAt)
 			d := open(t, c, origin, f)
 			test.change(c, d.Target)
-			got := c.Packet(later.Add(50*ms), request(f, d.Cookie))
+			got := c.HandlePacket(later.Add(50*ms), request(f, d.Cookie))
 			assert.Equal(t, got.Verdict, test.want, got.Reason.String())
-			assert.Equal(t, c.Packet(later.Add(60*ms), &Packet{Flow: f, Flags: RST, Cookie: d.Cookie}).Verdict != Reset, true, "a reset is never answered")
+			assert.Equal(t, c.HandlePacket(later.Add(60*ms), &Packet{Flow: f, Flags: RST, Cookie: d.Cookie}).Verdict != Reset, true, "a reset is never answered")
 		})
 	}
 }
@@ -142,16 +142,16 @@
 			now := origin.Add(time.Second)
 			p := request(f, d.Cookie)
 			p.Seq = 151
-			c.Packet(now, p)
-			c.Packet(now.Add(200*ms), p)
-			c.Packet(now.Add(600*ms), p)
+			c.HandlePacket(now, p)
+			c.HandlePacket(now.Add(200*ms), p)
+			c.HandlePacket(now.Add(600*ms), p)
 			var checks []Check
-			c.Checks(func(k Check) { checks = append(checks, k) })
+			c.TakeChecks(func(k Check) { checks = append(checks, k) })
 			assert.Equal(t, len(checks), 1)
 			assert.Equal(t, checks[0].Target, d.Target)
 			assert.Equal(t, checks[0].Reference, Endpoint{}, "no other target has shown a sign of life")
 			began := now.Add(600 * ms)
-			checks[0].Born = test.born
+			checks[0].StartedAt = test.born
 			now = now.Add(700 * ms)
 			if test.others {
 				c.alive(now, c.targets.byName["slips-3"])
@@ -160,11 +160,11 @@
 				c.alive(now, c.targets.byName[d.Target])
 			}
 			now = now.Add(100 * ms)
-			c.Checked(now, checks[0], began, test.result)
+			c.ReportCheck(now, checks[0], began, test.result)
 			if test.idle {
 				p.Length = 0
 			}
-			assert.Equal(t, c.Packet(now, p).Verdict, test.want)
+			assert.Equal(t, c.HandlePacket(now, p).Verdict, test.want)
 			assert.Equal(t, c.targets.byName[d.Target].usable(), test.newFlows)
 		})
 	}
@@ -181,24 +181,24 @@
 	p.Seq = 151
 	fail := func() (checks []Check) {
 		for _, pause := range []time.Duration{0, 200 * ms, 600 * ms} {
-			c.Packet(now.Add(pause), p)
+			c.HandlePacket(now.Add(pause), p)
 		}
-		c.Checks(func(k Check) { checks = append(checks, k) })
+		c.TakeChecks(func(k Check) { checks = append(checks, k) })
 		return checks
 	}
 	checks := fail()
 	assert.Equal(t, len(checks), 1)
 	now = now.Add(time.Second)
 	c.alive(now, c.targets.byName["slips-3"])
-	c.Checked(now, checks[0], now.Add(-ms), CheckUnreachable)
-	assert.Equal(t, c.Packet(now.Add(checkTTL-ms), p).Verdict, Reset)
-	assert.Equal(t, c.Packet(now.Add(checkTTL), p).Verdict, Forward, "the partition may be healed")
+	c.ReportCheck(now, checks[0], now.Add(-ms), CheckUnreachable)
+	assert.Equal(t, c.HandlePacket(now.Add(checkTTL-ms), p).Verdict, Reset)
+	assert.Equal(t, c.HandlePacket(now.Add(checkTTL), p).Verdict, Forward, "the partition may be healed")
 	now = now.Add(checkTTL)
 	again := fail()
 	assert.Equal(t, len(again), 1, "it is checked again while it does not answer")
 	assert.Equal(t, again[0].Reference, c.targets.byName["slips-3"].Address)
-	c.Checked(now.Add(time.Second), again[0], now.Add(700*ms), CheckInconclusive)
-	assert.Equal(t, c.Packet(now.Add(time.Second), p).Verdict, Forward)
+	c.ReportCheck(now.Add(time.Second), again[0], now.Add(700*ms), CheckInconclusive)
+	assert.Equal(t, c.HandlePacket(now.Add(time.Second), p).Verdict, Forward)
 }
 
 // Found in the logs of kelani-bump trouble-2: packets of a large request that
@@ -211,8 +211,8 @@
 	for i, seq := range []uint32{351, 251, 151, 301, 201} {
 		p := request(f, d.Cookie)
 		p.Seq = seq
-		got := c.Packet(origin.Add(20*ms+time.Duration(i)*ms), p)
-		assert.Equal(t, got.Stalled, time.Duration(0))
+		got := c.HandlePacket(origin.Add(20*ms+time.Duration(i)*ms), p)
+		assert.Equal(t, got.StalledFor, time.Duration(0))
 	}
 	assert.Assert(t, !c.targets.byName[d.Target].suspected(origin.Add(30*ms)))
 }
@@ -226,8 +226,8 @@
 	target := c.targets.byName[d.Target]
 	c.failed(origin.Add(20*ms), target, origin.Add(15*ms), "test")
 	assert.Assert(t, target.suspected(origin.Add(30*ms)))
-	got := c.Packet(origin.Add(40*ms), &Packet{Flow: f, Flags: FIN | ACK, Cookie: d.Cookie, Seq: 151, Ack: 900})
-	assert.Equal(t, got.Served, 30*ms)
+	got := c.HandlePacket(origin.Add(40*ms), &Packet{Flow: f, Flags: FIN | ACK, Cookie: d.Cookie, Seq: 151, Ack: 900})
+	assert.Equal(t, got.ResponseTime, 30*ms)
 	assert.Assert(t, !target.suspected(origin.Add(40*ms)))
 	assert.Equal(t, target.flows, 0)
 }
