--- a/internal/passthrough/bench_test.go
+++ b/internal/passthrough/bench_test.go
@@ -114,7 +114,7 @@
 	b.Run("tick", func(b *testing.B) {
 		now := origin
 		for b.Loop() {
-			now = now.Add(sweepEvery)
+			now = now.Add(sweepInterval)
 			c.Tick(now)
 		}
 	})
--- a/internal/passthrough/choose.go
+++ b/internal/passthrough/choose.go
@@ -17,25 +17,25 @@
 	// remoteMinimum as the pressure on the own data centre rises from the low to
 	// the high mark. A flow of a single request is over before a cut matters, so
 	// its marks are lower than those of a flow that stays open.
-	remotePenalty = 4.0
-	remoteMinimum = 0.25
-	farPenalty    = 2.0 // more for another region, whose round trip takes a run time
-	shortLow      = 0.5
-	shortHigh     = 1.0
-	longLow       = 0.8
-	longHigh      = 1.6
+	remotePenalty         = 4.0
+	minRemotePenalty      = 0.25
+	regionPenalty         = 2.0 // more for another region, whose round trip takes a run time
+	shortFlowLowPressure  = 0.5
+	shortFlowHighPressure = 1.0
+	longFlowLowPressure   = 0.8
+	longFlowHighPressure  = 1.6
 	// coldFactor is how much slower a target is just after its start.
-	coldFactor = 1.6
+	slowStartFactor = 1.6
 	// localSample and remoteSample are the numbers of candidates of the own and
 	// of other data centres up to which all are compared; of more, as many are
 	// drawn, which bounds the cost of a choice.
-	localSample  = 16
-	remoteSample = 12
+	maxLocalSample  = 16
+	maxRemoteSample = 12
 	// firstRetry and maxRetry bound the time for which a suspected target gets
 	// no flows; it doubles with each try in vain. An opening packet that
 	// was merely lost costs the target firstRetry.
-	firstRetry = time.Second
-	maxRetry   = 4 * time.Second
+	minRetryDelay = time.Second
+	maxRetryDelay = 4 * time.Second
 )
 
 // selection finds the best candidate for a flow.
@@ -53,8 +53,8 @@
 		return nil
 	}
 	var s selection
-	c.consider(now, &s, p.local, localSample, avoid, 0)
-	c.consider(now, &s, p.remote, remoteSample, avoid, penalty(p.update(now, c.instances), long))
+	c.compareCandidates(now, &s, p.local, maxLocalSample, avoid, 0)
+	c.compareCandidates(now, &s, p.remote, maxRemoteSample, avoid, remotePenaltyAt(p.updatePressure(now, c.instanceCount), long))
 	if s.best != nil {
 		return s.best
 	}
@@ -63,29 +63,29 @@
 
 // penalty returns the load per slot that counts against other data centres at a
 // pressure on the own one.
-func penalty(pressure float64, long bool) float64 {
-	low, high := shortLow, shortHigh
+func remotePenaltyAt(pressure float64, long bool) float64 {
+	low, high := shortFlowLowPressure, shortFlowHighPressure
 	if long {
-		low, high = longLow, longHigh
+		low, high = longFlowLowPressure, longFlowHighPressure
 	}
 	part := min(max((pressure-low)/(high-low), 0), 1)
-	return remotePenalty + part*(remoteMinimum-remotePenalty)
+	return remotePenalty + part*(minRemotePenalty-remotePenalty)
 }
 
 // consider compares up to sample candidates of a list.
-func (c *Core) consider(now ids.Time, s *selection, list []*target, sample int, avoid *target, extra float64) {
+func (c *Core) compareCandidates(now ids.Time, s *selection, list []*target, sample int, avoid *target, extra float64) {
 	n := min(len(list), sample)
-	start := c.draw(len(list)) // ties do not always favour the first
+	start := c.randomIndex(len(list)) // ties do not always favour the first
 	for i := range n {
 		t := list[(start+i)%len(list)]
 		if len(list) > sample {
-			t = list[c.draw(len(list))]
+			t = list[c.randomIndex(len(list))]
 		}
 		load := t.load(now) + extra
-		if t.far {
-			load += farPenalty
+		if t.otherRegion {
+			load += regionPenalty
 		}
-		if t == avoid || t.suspected(now) {
+		if t == avoid || t.excluded(now) {
 			if s.fallback == nil || s.fallback == avoid || (t != avoid && load < s.fallbackLoad) {
 				s.fallback, s.fallbackLoad = t, load
 			}
@@ -99,18 +99,18 @@
 
 // load is the number of requests that a new flow would find at t, per slot.
 func (t *target) load(now ids.Time) float64 {
-	load := (float64(t.busy+1) + idleFlowLoad*float64(t.flows)) / float64(t.Slots)
-	if now.Before(t.coldUntil) {
-		load *= coldFactor
+	load := (float64(t.activeRequests+1) + idleFlowLoad*float64(t.flows)) / float64(t.Slots)
+	if now.Before(t.slowStartUntil) {
+		load *= slowStartFactor
 	}
 	return load
 }
 
 // draw returns a number from 0 to n-1, or 0 when n is 0.
-func (c *Core) draw(n int) int {
-	c.random = ids.Mix(c.random, 1)
+func (c *Core) randomIndex(n int) int {
+	c.rngState = ids.Mix(c.rngState, 1)
 	if n == 0 {
 		return 0
 	}
-	return int(c.random % uint64(n))
+	return int(c.rngState % uint64(n))
 }
--- a/internal/passthrough/core_test.go
+++ b/internal/passthrough/core_test.go
@@ -170,9 +170,9 @@
 	assert.Equal(t, c.HandlePacket(origin.Add(time.Second), syn(flowOf(1, counterAt), 0)).Verdict, Forward)
 	r := record(1, "counter", "a")
 	c.PutTarget(origin.Add(1500*ms), &r)
-	c.Tick(origin.Add(lapseGrace))
+	c.Tick(origin.Add(recordGracePeriod))
 	for i := range 20 {
-		assert.Equal(t, c.HandlePacket(origin.Add(lapseGrace+ms), syn(flowOf(10+i, counterAt), 0)).Target, "counter-1")
+		assert.Equal(t, c.HandlePacket(origin.Add(recordGracePeriod+ms), syn(flowOf(10+i, counterAt), 0)).Target, "counter-1")
 	}
 	c.RemoveTarget(origin.Add(5*time.Second), "counter-1")
 	assert.Equal(t, c.HandlePacket(origin.Add(5*time.Second), syn(flowOf(50, counterAt), 0)).Reason, NoTarget, "no outage before")
@@ -245,12 +245,12 @@
 		c.HandlePacket(now.Add(3*ms), &Packet{Flow: f, Flags: FIN | ACK, Cookie: d.Cookie, Seq: 151, Ack: 1500})
 	}
 	for range 10 * 60 {
-		now = now.Add(sweepEvery)
+		now = now.Add(sweepInterval)
 		c.Tick(now)
 	}
 	assert.Equal(t, len(c.flows.index), 0)
 	for _, target := range c.targets.slots {
-		assert.Equal(t, target.busy, 0, target.Name)
+		assert.Equal(t, target.activeRequests, 0, target.Name)
 		assert.Equal(t, target.flows, 0, target.Name)
 	}
 }
@@ -341,9 +341,9 @@
 	}
 	assert.Equal(t, verdict(time.Hour), Drop, "targets are not known yet")
 	c.ReplaceTargets(origin.Add(time.Hour), nil)
-	assert.Equal(t, verdict(time.Hour+lapseGrace-ms), Drop)
-	assert.Equal(t, verdict(time.Hour+lapseGrace), Reset)
+	assert.Equal(t, verdict(time.Hour+recordGracePeriod-ms), Drop)
+	assert.Equal(t, verdict(time.Hour+recordGracePeriod), Reset)
 	c.PlatformRecovered(origin.Add(2 * time.Hour))
-	assert.Equal(t, verdict(2*time.Hour+lapseGrace-ms), Drop)
-	assert.Equal(t, verdict(2*time.Hour+lapseGrace), Reset)
+	assert.Equal(t, verdict(2*time.Hour+recordGracePeriod-ms), Drop)
+	assert.Equal(t, verdict(2*time.Hour+recordGracePeriod), Reset)
 }
--- a/internal/passthrough/event.go
+++ b/internal/passthrough/event.go
@@ -38,10 +38,10 @@
 
 // eventLimit bounds the events between two calls of Events, so that a core
 // whose events nobody takes does not grow.
-const eventLimit = 4096
+const maxEvents = 4096
 
-func (c *Core) note(e Event) {
-	if len(c.events) < eventLimit {
+func (c *Core) addEvent(e Event) {
+	if len(c.events) < maxEvents {
 		c.events = append(c.events, e)
 	}
 }
--- a/internal/passthrough/flow.go
+++ b/internal/passthrough/flow.go
@@ -18,17 +18,17 @@
 // forward packets of an open flow; it serves load figures, failure detection
 // and the treatment of repeated opening packets. It takes FlowBytes.
 type flow struct {
-	key       FlowKey
-	state     flowState
-	busy      bool   // a request is in progress
-	requests  uint16 // seen so far
-	target    int32  // index of the target
-	run       uint32 // of the target
-	nextSeq   uint32 // end of the caller's data seen so far
-	ack       uint32 // greatest acknowledgement of the caller so far
-	lastSeen  ids.Time
-	forwarded ids.Time // when the opening packet last went to target
-	requested ids.Time // when the request in progress was first seen
+	key           FlowKey
+	state         flowState
+	requestActive bool   // a request is in progress
+	requests      uint16 // seen so far
+	target        int32  // index of the target
+	generation    uint32 // of the target
+	nextSeq       uint32 // end of the caller's data seen so far
+	ack           uint32 // greatest acknowledgement of the caller so far
+	lastSeen      ids.Time
+	forwardedAt   ids.Time // when the opening packet last went to target
+	requestedAt   ids.Time // when the request in progress was first seen
 }
 
 // FlowBytes is the memory that one remembered flow takes, with its entry in
@@ -38,11 +38,11 @@
 // flowTable is a bounded set of flows. A full table forgets the flow that has
 // been idle for longest among a few.
 type flowTable struct {
-	index map[FlowKey]int32
-	slots []flow
-	free  []int32
-	hand  int // position of the sweep
-	limit int
+	index      map[FlowKey]int32
+	slots      []flow
+	free       []int32
+	sweepIndex int // position of the sweep
+	limit      int
 }
 
 func newFlowTable(limit int) flowTable {
@@ -69,7 +69,7 @@
 		i = int32(len(ft.slots))
 		ft.slots = append(ft.slots, flow{})
 	default:
-		i = ft.idlest()
+		i = ft.evictionCandidate()
 		evicted = ft.slots[i]
 		delete(ft.index, evicted.key)
 	}
@@ -82,12 +82,12 @@
 // the one that has been idle for longest; it bounds the cost of an insertion.
 const evictionSample = 16
 
-func (ft *flowTable) idlest() int32 {
-	best := int32(ft.hand)
+func (ft *flowTable) evictionCandidate() int32 {
+	best := int32(ft.sweepIndex)
 	for range evictionSample {
-		ft.hand = (ft.hand + 1) % len(ft.slots)
-		if ft.slots[ft.hand].lastSeen.Before(ft.slots[best].lastSeen) {
-			best = int32(ft.hand)
+		ft.sweepIndex = (ft.sweepIndex + 1) % len(ft.slots)
+		if ft.slots[ft.sweepIndex].lastSeen.Before(ft.slots[best].lastSeen) {
+			best = int32(ft.sweepIndex)
 		}
 	}
 	return best
--- a/internal/passthrough/inspect.go
+++ b/internal/passthrough/inspect.go
@@ -47,8 +47,8 @@
 func (c *Core) targetState(now ids.Time, t *target) TargetState {
 	return TargetState{
 		Name: t.Name, Service: t.Service, Address: t.Address.String(), DataCentre: t.DataCentre, Cookie: t.cookie,
-		Lifecycle: c.lifecycle(t), Suspected: t.trust.State() == chart.Suspected, RetryIn: max(t.retryAt.Sub(now), 0),
-		Cold: max(t.coldUntil.Sub(now), 0), Shadowed: t.shadowed, Busy: t.busy, Flows: t.flows, Load: t.load(now),
+		Lifecycle: c.lifecycleName(t), Suspected: t.suspicion.State() == chart.Suspected, RetryIn: max(t.retryAt.Sub(now), 0),
+		Cold: max(t.slowStartUntil.Sub(now), 0), Shadowed: t.shadowed, Busy: t.activeRequests, Flows: t.flows, Load: t.load(now),
 	}
 }
 
@@ -100,9 +100,9 @@
 				e.Candidates = append(e.Candidates, c.targetState(now, t))
 			}
 		}
-		random := c.random
-		t := c.choose(now, e.Service, nil, c.long(flow.Service))
-		c.random = random
+		random := c.rngState
+		t := c.choose(now, e.Service, nil, c.hasLongFlows(flow.Service))
+		c.rngState = random
 		if t == nil {
 			set(Drop, NoTarget)
 			break
--- a/internal/passthrough/packet.go
+++ b/internal/passthrough/packet.go
@@ -68,4 +68,4 @@
 }
 
 // opening reports whether p asks for a new flow.
-func (p *Packet) opening() bool { return p.Flags.Has(SYN) && !p.Flags.Has(ACK) }
+func (p *Packet) isOpening() bool { return p.Flags.Has(SYN) && !p.Flags.Has(ACK) }
--- a/internal/passthrough/random_test.go
+++ b/internal/passthrough/random_test.go
@@ -159,8 +159,8 @@
 			"": func(t *rapid.T) {
 				for _, c := range w.cores {
 					for _, target := range c.targets.slots {
-						if target != nil && (target.busy < 0 || target.flows < 0 || target.busy > target.flows) {
-							t.Fatalf("%s: %d requests, %d flows", target.Name, target.busy, target.flows)
+						if target != nil && (target.activeRequests < 0 || target.flows < 0 || target.activeRequests > target.flows) {
+							t.Fatalf("%s: %d requests, %d flows", target.Name, target.activeRequests, target.flows)
 						}
 					}
 				}
--- a/internal/passthrough/target.go
+++ b/internal/passthrough/target.go
@@ -23,74 +23,74 @@
 // target is the state kept of one backend server.
 type target struct {
 	TargetRecord
-	cookie    Cookie
-	lifecycle chart.Machine // chart.Backend
-	trust     chart.Machine // chart.Suspicion
-	coldUntil ids.Time
+	cookie         Cookie
+	lifecycle      chart.Machine // chart.Backend
+	suspicion      chart.Machine // chart.Suspicion
+	slowStartUntil ids.Time
 	// missingSince is when the record disappeared after the platform had been
 	// away; zero while the record is there.
 	missingSince     ids.Time
-	ended            bool // its record disappeared, and nothing shows that it lives on
-	replaced         bool // a check found another target at its address
-	checkedAt        ids.Time
+	presumedDead     bool // its record disappeared, and nothing shows that it lives on
+	addressReused    bool // a check found another target at its address
+	lastCheckAt      ids.Time
 	unreachableUntil ids.Time // until then it counts as out of reach
-	repeats          int      // packets with data repeated to it since the last sign of life
+	retransmits      int      // packets with data repeated to it since the last sign of life
 	// retryAt is when a suspected target may get a flow again.
-	retryAt  ids.Time
-	retries  int // since the last sign of life
-	lastLife ids.Time
+	retryAt   ids.Time
+	retries   int // since the last sign of life
+	lastAlive ids.Time
 
-	busy     int // requests in progress, from this instance
-	flows    int // open flows, from this instance
-	index    int32
-	run      uint32 // tells it from other targets that have had the same index
-	shadowed bool   // an older target has the same cookie
-	pool     *pool  // in which it is a candidate, nil for none
-	local    bool   // it is in the data centre of the instance
-	far      bool   // it is in another region
-	position int    // in its list of the pool
+	activeRequests int // requests in progress, from this instance
+	flows          int // open flows, from this instance
+	index          int32
+	generation     uint32 // tells it from other targets that have had the same index
+	shadowed       bool   // an older target has the same cookie
+	pool           *pool  // in which it is a candidate, nil for none
+	local          bool   // it is in the data centre of the instance
+	otherRegion    bool   // it is in another region
+	poolIndex      int    // in its list of the pool
 }
 
 // addBusy changes the number of requests in progress.
 func (t *target) addBusy(n int) {
-	t.busy += n
+	t.activeRequests += n
 	if t.pool != nil && t.local {
-		t.pool.busy += n
+		t.pool.activeRequests += n
 	}
 }
 
 // usable reports whether the target may get new flows at all.
 func (t *target) usable() bool {
 	s := t.lifecycle.State()
-	return !t.shadowed && !t.replaced && (s == chart.BackendStarting || s == chart.BackendServing)
+	return !t.shadowed && !t.addressReused && (s == chart.BackendStarting || s == chart.BackendServing)
 }
 
 // unanswerable reports whether p, a packet of one of its flows, will not be
 // answered any more, and why, so that the caller is better off with a reset.
 // Where the target is out of reach this is said of requests only: a flow without
 // one may outlast that.
-func (t *target) unanswerable(now ids.Time, p *Packet) (Reason, bool) {
+func (t *target) resetReason(now ids.Time, p *Packet) (Reason, bool) {
 	switch {
 	case p.Flags.Has(RST):
 		return KnownCookie, false
-	case t.replaced:
+	case t.addressReused:
 		return TargetGone, true
 	case now.Before(t.unreachableUntil):
 		return TargetUnreachable, p.Length > 0
 	}
-	return TargetGone, t.ended
+	return TargetGone, t.presumedDead
 }
 
 // targetTable holds the backend servers by cookie and by service.
 type targetTable struct {
-	dataCentre ids.DataCentre    // of the instance
-	regions    map[string]string // by data centre
-	byName     map[string]*target
-	byCookie   map[Cookie]*target
-	pools      map[ids.Service]*pool
-	slots      []*target // by index; nil entries are free
-	free       []int32
-	runs       uint32 // targets so far
+	dataCentre     ids.DataCentre    // of the instance
+	regions        map[string]string // by data centre
+	byName         map[string]*target
+	byCookie       map[Cookie]*target
+	pools          map[ids.Service]*pool
+	slots          []*target // by index; nil entries are free
+	freeIndexes    []int32
+	lastGeneration uint32 // targets so far
 }
 
 func newTargetTable(dc ids.DataCentre, regions map[string]string) targetTable {
@@ -104,11 +104,11 @@
 }
 
 // at returns the target with this index and run, or nil.
-func (tt *targetTable) at(index int32, run uint32) *target {
+func (tt *targetTable) byIndex(index int32, run uint32) *target {
 	if index < 0 || int(index) >= len(tt.slots) {
 		return nil
 	}
-	if t := tt.slots[index]; t != nil && t.run == run {
+	if t := tt.slots[index]; t != nil && t.generation == run {
 		return t
 	}
 	return nil
@@ -120,24 +120,24 @@
 	t = tt.byName[r.Name]
 	if t != nil && t.StartedAt != r.StartedAt {
 		// The same name after a restart knows nothing of the flows before.
-		tt.forget(t)
+		tt.delete(t)
 		t = nil
 	}
 	if t == nil {
-		t = &target{TargetRecord: *r, cookie: cookieOf(r.Identity), lifecycle: chart.Backend.New(), trust: chart.Suspicion.New()}
+		t = &target{TargetRecord: *r, cookie: cookieOf(r.Identity), lifecycle: chart.Backend.New(), suspicion: chart.Suspicion.New()}
 		tt.insert(t)
 		changed = true
 	}
 	changed = changed || t.Draining != r.Draining || t.Address != r.Address || t.Service != r.Service || t.missingSince != 0
 	if t.Service != r.Service || t.DataCentre != r.DataCentre || t.Slots != r.Slots {
-		t.unlist()
+		t.leavePool()
 	}
 	t.TargetRecord = *r
 	if changed {
-		t.replaced, t.unreachableUntil = false, 0 // it has written since
+		t.addressReused, t.unreachableUntil = false, 0 // it has written since
 	}
-	t.missingSince, t.ended = 0, false
-	t.coldUntil = now.Add(r.SlowStart)
+	t.missingSince, t.presumedDead = 0, false
+	t.slowStartUntil = now.Add(r.SlowStart)
 	switch {
 	case r.Draining:
 		t.lifecycle.Fire(chart.BackendDrain)
@@ -147,18 +147,18 @@
 	case t.lifecycle.State() == chart.BackendDraining:
 		t.lifecycle.Fire(chart.BackendRestart)
 	}
-	tt.list(t)
+	tt.updatePool(t)
 	return t, changed
 }
 
 func (tt *targetTable) insert(t *target) {
-	tt.runs++
-	t.run = tt.runs
+	tt.lastGeneration++
+	t.generation = tt.lastGeneration
 	tt.byName[t.Name] = t
-	tt.claimCookie(t)
-	if n := len(tt.free); n > 0 {
-		t.index = tt.free[n-1]
-		tt.free = tt.free[:n-1]
+	tt.assignCookie(t)
+	if n := len(tt.freeIndexes); n > 0 {
+		t.index = tt.freeIndexes[n-1]
+		tt.freeIndexes = tt.freeIndexes[:n-1]
 		tt.slots[t.index] = t
 		return
 	}
@@ -168,24 +168,24 @@
 
 // remove ends the use of t for new flows. Its cookie stays known, so that open
 // flows reach it for as long as it lives.
-func (tt *targetTable) remove(t *target) {
+func (tt *targetTable) retire(t *target) {
 	t.lifecycle.Fire(chart.BackendRemove)
-	tt.list(t)
+	tt.updatePool(t)
 }
 
 // forget drops everything about t.
-func (tt *targetTable) forget(t *target) {
-	tt.remove(t)
+func (tt *targetTable) delete(t *target) {
+	tt.retire(t)
 	delete(tt.byName, t.Name)
 	tt.slots[t.index] = nil
-	tt.free = append(tt.free, t.index)
+	tt.freeIndexes = append(tt.freeIndexes, t.index)
 	if tt.byCookie[t.cookie] != t {
 		return
 	}
 	delete(tt.byCookie, t.cookie)
 	for _, other := range tt.slots {
 		if other != nil && other.cookie == t.cookie {
-			tt.claimCookie(other)
+			tt.assignCookie(other)
 		}
 	}
 }
@@ -193,21 +193,21 @@
 // claimCookie gives t its cookie. Of two targets with the same cookie only the
 // older one gets flows, since packets of the other could not be told apart. All
 // instances agree on it, as it follows from what the targets publish.
-func (tt *targetTable) claimCookie(t *target) {
+func (tt *targetTable) assignCookie(t *target) {
 	t.shadowed = false
 	if holder := tt.byCookie[t.cookie]; holder != nil && holder != t {
-		if holder.olderThan(t) {
+		if holder.isOlderThan(t) {
 			t.shadowed = true
 			return
 		}
 		holder.shadowed = true
-		tt.list(holder)
+		tt.updatePool(holder)
 	}
 	tt.byCookie[t.cookie] = t
-	tt.list(t)
+	tt.updatePool(t)
 }
 
-func (t *target) olderThan(o *target) bool {
+func (t *target) isOlderThan(o *target) bool {
 	if t.StartedAt != o.StartedAt {
 		return t.StartedAt < o.StartedAt
 	}
@@ -215,17 +215,17 @@
 }
 
 // far reports whether a data centre is known to be in another region.
-func (tt *targetTable) far(dc ids.DataCentre) bool {
+func (tt *targetTable) inOtherRegion(dc ids.DataCentre) bool {
 	own, known := tt.regions[string(tt.dataCentre)]
 	other, also := tt.regions[string(dc)]
 	return known && also && own != other
 }
 
 // list puts t among the candidates of its service, or takes it out.
-func (tt *targetTable) list(t *target) {
+func (tt *targetTable) updatePool(t *target) {
 	switch {
 	case !t.usable():
-		t.unlist()
+		t.leavePool()
 	case t.pool == nil:
 		p := tt.pools[t.Service]
 		if p == nil {
@@ -233,7 +233,7 @@
 			tt.pools[t.Service] = p
 		}
 		t.local = t.DataCentre == tt.dataCentre
-		t.far = tt.far(t.DataCentre)
+		t.otherRegion = tt.inOtherRegion(t.DataCentre)
 		p.add(t)
 	}
 }
--- a/internal/passthrough/trust.go
+++ b/internal/passthrough/trust.go
@@ -10,27 +10,27 @@
 // answerTime is the time after which an opening packet that the caller has not
 // followed up counts as unanswered. A round trip between data centres takes
 // about 15 ms; the caller sends a copy after 200 ms.
-const answerTime = 100 * time.Millisecond
+const openingTimeout = 100 * time.Millisecond
 
 // opening is an opening packet that awaits its answer.
-type opening struct {
+type pendingOpening struct {
 	flow FlowKey
 	sent ids.Time
 }
 
 // openings is a queue of opening packets in the order of their times.
-type openings struct {
-	ring        []opening
+type openingQueue struct {
+	ring        []pendingOpening
 	first, used int
 }
 
 // openingsLimit bounds the openings under observation: those of answerTime at
 // 40,000 new flows a second. Beyond it the oldest go unobserved.
-const openingsLimit = 4096
+const maxPendingOpenings = 4096
 
-func (q *openings) push(o opening) {
+func (q *openingQueue) push(o pendingOpening) {
 	if q.ring == nil {
-		q.ring = make([]opening, openingsLimit)
+		q.ring = make([]pendingOpening, maxPendingOpenings)
 	}
 	if q.used == len(q.ring) {
 		q.pop()
@@ -39,58 +39,58 @@
 	q.used++
 }
 
-func (q *openings) pop() {
+func (q *openingQueue) pop() {
 	q.first = (q.first + 1) % len(q.ring)
 	q.used--
 }
 
-func (q *openings) head() *opening { return &q.ring[q.first] }
+func (q *openingQueue) head() *pendingOpening { return &q.ring[q.first] }
 
 // checkOpenings counts a failure for each target that left an opening packet
 // unanswered.
-func (c *Core) checkOpenings(now ids.Time) {
-	for c.openings.used > 0 && now.Sub(c.openings.head().sent) >= answerTime {
+func (c *Core) expireOpenings(now ids.Time) {
+	for c.openings.used > 0 && now.Sub(c.openings.head().sent) >= openingTimeout {
 		o := *c.openings.head()
 		c.openings.pop()
 		f := c.flows.get(o.flow)
-		if f == nil || f.state != flowOpening || f.forwarded != o.sent {
+		if f == nil || f.state != flowOpening || f.forwardedAt != o.sent {
 			continue
 		}
 		if t := c.target(f); t != nil {
-			c.failed(now, t, o.sent, "opening unanswered")
+			c.recordFailure(now, t, o.sent, "opening unanswered")
 		}
 	}
 }
 
 // suspected reports whether t gets no flows for now. When the time for a retry
 // has come, one flow at a time tries it.
-func (t *target) suspected(now ids.Time) bool {
-	return t.trust.State() == chart.Suspected && now.Before(t.retryAt)
+func (t *target) excluded(now ids.Time) bool {
+	return t.suspicion.State() == chart.Suspected && now.Before(t.retryAt)
 }
 
 // failed records that t gave no answer to a packet sent at a time.
-func (c *Core) failed(now ids.Time, t *target, sent ids.Time, reason string) {
-	if sent.Before(t.lastLife) {
+func (c *Core) recordFailure(now ids.Time, t *target, sent ids.Time, reason string) {
+	if sent.Before(t.lastAlive) {
 		return // it has shown since that it is alive
 	}
 	c.requestCheck(now, t)
-	if t.trust.State() == chart.Suspected {
+	if t.suspicion.State() == chart.Suspected {
 		return
 	}
-	t.trust.Fire(chart.SuspicionSilent)
-	t.retry(now)
-	c.note(Event{Kind: TargetSuspected, Target: t.Name, Service: t.Service, Reason: reason, Age: now.Sub(sent)})
+	t.suspicion.Fire(chart.SuspicionSilent)
+	t.scheduleRetry(now)
+	c.addEvent(Event{Kind: TargetSuspected, Target: t.Name, Service: t.Service, Reason: reason, Age: now.Sub(sent)})
 }
 
 // requestCheck asks for a health check of t, at most one each checkTTL.
 func (c *Core) requestCheck(now ids.Time, t *target) {
 	path := c.routes.health[t.Service]
-	if path == "" || len(c.checks) == MaxChecks || (t.checkedAt != 0 && now.Sub(t.checkedAt) < checkTTL) {
+	if path == "" || len(c.checks) == MaxChecks || (t.lastCheckAt != 0 && now.Sub(t.lastCheckAt) < checkTTL) {
 		return
 	}
-	t.checkedAt = now
+	t.lastCheckAt = now
 	k := Check{Target: t.Name, StartedAt: t.StartedAt, Address: t.Address, Path: path}
-	if r := c.reference(t); r != nil {
+	if r := c.referenceTarget(t); r != nil {
 		k.Reference, k.ReferencePath = r.Address, c.routes.health[r.Service]
 	}
 	c.checks = append(c.checks, k)
@@ -98,10 +98,10 @@
 
 // reference returns the target other than t that has shown the latest sign of
 // life, if there is one.
-func (c *Core) reference(t *target) *target {
+func (c *Core) referenceTarget(t *target) *target {
 	var best *target
 	for _, o := range c.targets.slots {
-		if o != nil && o != t && o.lastLife != 0 && o.usable() && (best == nil || o.lastLife > best.lastLife) {
+		if o != nil && o != t && o.lastAlive != 0 && o.usable() && (best == nil || o.lastAlive > best.lastAlive) {
 			best = o
 		}
 	}
@@ -109,20 +109,20 @@
 }
 
 // retry sets the time at which the suspected t may get a flow again.
-func (t *target) retry(now ids.Time) {
-	t.retryAt = now.Add(min(firstRetry<<min(t.retries, 8), maxRetry))
+func (t *target) scheduleRetry(now ids.Time) {
+	t.retryAt = now.Add(min(minRetryDelay<<min(t.retries, 8), maxRetryDelay))
 	t.retries++
 }
 
 // alive records a sign of life of t.
-func (c *Core) alive(now ids.Time, t *target) {
-	c.lastLife = now
-	t.lastLife = now
-	t.retries, t.repeats = 0, 0
+func (c *Core) markAlive(now ids.Time, t *target) {
+	c.lastAlive = now
+	t.lastAlive = now
+	t.retries, t.retransmits = 0, 0
 	t.unreachableUntil = 0
-	if t.trust.State() == chart.Suspected {
-		t.trust.Fire(chart.SuspicionRefute)
-		c.note(Event{Kind: TargetTrusted, Target: t.Name, Service: t.Service})
+	if t.suspicion.State() == chart.Suspected {
+		t.suspicion.Fire(chart.SuspicionRefute)
+		c.addEvent(Event{Kind: TargetTrusted, Target: t.Name, Service: t.Service})
 	}
 }
 
@@ -177,17 +177,17 @@
 // these this instance itself may be cut off.
 func (c *Core) ReportCheck(now ids.Time, k Check, began ids.Time, result CheckResult) {
 	t := c.targets.byName[k.Target]
-	if t == nil || t.StartedAt != k.StartedAt || t.lastLife >= began {
+	if t == nil || t.StartedAt != k.StartedAt || t.lastAlive >= began {
 		return
 	}
 	switch {
 	case result == CheckReplaced:
-		t.replaced = true
-		c.targets.list(t)
-	case result == CheckUnreachable && c.lastLife > began:
+		t.addressReused = true
+		c.targets.updatePool(t)
+	case result == CheckUnreachable && c.lastAlive > began:
 		t.unreachableUntil = now.Add(checkTTL)
 	default:
 		return
 	}
-	c.note(Event{Kind: TargetChecked, Target: t.Name, Service: t.Service, Reason: result.String(), Age: now.Sub(began)})
+	c.addEvent(Event{Kind: TargetChecked, Target: t.Name, Service: t.Service, Reason: result.String(), Age: now.Sub(began)})
 }
--- a/internal/passthrough/trust_test.go
+++ b/internal/passthrough/trust_test.go
@@ -12,7 +12,7 @@
 func TestSilentTargetIsAvoided(t *testing.T) {
 	c := testCore()
 	silent := c.HandlePacket(origin, syn(flowOf(1, counterAt), 0)).Target
-	now := origin.Add(answerTime)
+	now := origin.Add(openingTimeout)
 	for i := range 40 {
 		now = now.Add(5 * ms)
 		f := flowOf(100+i, counterAt)
@@ -38,11 +38,11 @@
 	c := testCore()
 	f := flowOf(1, counterAt)
 	d := c.HandlePacket(origin, syn(f, 0))
-	c.Tick(origin.Add(answerTime))
+	c.Tick(origin.Add(openingTimeout))
 	target := c.targets.byName[d.Target]
-	assert.Assert(t, target.suspected(origin.Add(answerTime)))
+	assert.Assert(t, target.excluded(origin.Add(openingTimeout)))
 	c.HandlePacket(origin.Add(300*ms), request(f, d.Cookie))
-	assert.Assert(t, !target.suspected(origin.Add(300*ms)))
+	assert.Assert(t, !target.excluded(origin.Add(300*ms)))
 }
 
 // Guards against a service without targets while all of them are suspected.
@@ -50,7 +50,7 @@
 	c := testCore()
 	now := origin
 	for i := range 10 {
-		now = now.Add(answerTime)
+		now = now.Add(openingTimeout)
 		assert.Equal(t, c.HandlePacket(now, syn(flowOf(i, counterAt), 0)).Verdict, Forward)
 	}
 }
@@ -73,16 +73,16 @@
 			c.ReplaceTargets(later, nil)
 		}, Forward},
 		"answering": {func(c *Core, name string) {
-			c.alive(later.Add(-1900*ms), c.targets.byName[name])
+			c.markAlive(later.Add(-1900*ms), c.targets.byName[name])
 			c.RemoveTarget(later, name)
 		}, Forward},
 		"crashed between two heartbeats": {func(c *Core, name string) {
-			c.alive(later.Add(-2000*ms), c.targets.byName[name])
+			c.markAlive(later.Add(-2000*ms), c.targets.byName[name])
 			c.RemoveTarget(later, name)
 		}, Reset},
 		"left": {func(c *Core, name string) {
 			c.targets.byName[name].Draining = true
-			c.alive(later.Add(-time.Second), c.targets.byName[name])
+			c.markAlive(later.Add(-time.Second), c.targets.byName[name])
 			c.RemoveTarget(later, name)
 		}, Reset},
 		"lapsed in an outage": {func(c *Core, name string) {
@@ -154,10 +154,10 @@
 			checks[0].StartedAt = test.born
 			now = now.Add(700 * ms)
 			if test.others {
-				c.alive(now, c.targets.byName["slips-3"])
+				c.markAlive(now, c.targets.byName["slips-3"])
 			}
 			if test.life {
-				c.alive(now, c.targets.byName[d.Target])
+				c.markAlive(now, c.targets.byName[d.Target])
 			}
 			now = now.Add(100 * ms)
 			c.ReportCheck(now, checks[0], began, test.result)
@@ -189,7 +189,7 @@
 	checks := fail()
 	assert.Equal(t, len(checks), 1)
 	now = now.Add(time.Second)
-	c.alive(now, c.targets.byName["slips-3"])
+	c.markAlive(now, c.targets.byName["slips-3"])
 	c.ReportCheck(now, checks[0], now.Add(-ms), CheckUnreachable)
 	assert.Equal(t, c.HandlePacket(now.Add(checkTTL-ms), p).Verdict, Reset)
 	assert.Equal(t, c.HandlePacket(now.Add(checkTTL), p).Verdict, Forward, "the partition may be healed")
@@ -214,7 +214,7 @@
 		got := c.HandlePacket(origin.Add(20*ms+time.Duration(i)*ms), p)
 		assert.Equal(t, got.StalledFor, time.Duration(0))
 	}
-	assert.Assert(t, !c.targets.byName[d.Target].suspected(origin.Add(30*ms)))
+	assert.Assert(t, !c.targets.byName[d.Target].excluded(origin.Add(30*ms)))
 }
 
 // Guards against a sign of life that is missed since it comes with the end of the
@@ -224,10 +224,10 @@
 	f := flowOf(1, counterAt)
 	d := open(t, c, origin, f)
 	target := c.targets.byName[d.Target]
-	c.failed(origin.Add(20*ms), target, origin.Add(15*ms), "test")
-	assert.Assert(t, target.suspected(origin.Add(30*ms)))
+	c.recordFailure(origin.Add(20*ms), target, origin.Add(15*ms), "test")
+	assert.Assert(t, target.excluded(origin.Add(30*ms)))
 	got := c.HandlePacket(origin.Add(40*ms), &Packet{Flow: f, Flags: FIN | ACK, Cookie: d.Cookie, Seq: 151, Ack: 900})
 	assert.Equal(t, got.ResponseTime, 30*ms)
-	assert.Assert(t, !target.suspected(origin.Add(40*ms)))
+	assert.Assert(t, !target.excluded(origin.Add(40*ms)))
 	assert.Equal(t, target.flows, 0)
 }
