--- a/internal/passthrough/choose.go
+++ b/internal/passthrough/choose.go
@@ -7,46 +7,47 @@
 )
 
 const (
-	// idleFlowLoad is the load that an open flow without a request counts for,
-	// in requests: a caller of a long flow has a request in progress for a few
-	// hundredths of the time.
+	// idleFlowLoad is the load of an open flow without an active request, in
+	// requests: a long flow has an active request for a few hundredths of the time.
 	idleFlowLoad = 0.03
-	// remotePenalty is the load per slot by which the targets of the own data
-	// centre must exceed those of others before a flow goes there: a flow across
-	// data centres breaks when these are cut off from each other. It falls to
-	// remoteMinimum as the pressure on the own data centre rises from the low to
-	// the high mark. A flow of a single request is over before a cut matters, so
-	// its marks are lower than those of a flow that stays open.
+	// remotePenalty is the load per slot by which the targets of the local data
+	// centre must exceed those of other data centres before a flow is placed
+	// remotely: a flow across data centres breaks when a partition separates them.
+	// The penalty falls to minRemotePenalty as the pressure on the local data
+	// centre rises from the low to the high pressure given below. The pressures for
+	// flows with a single request are lower than for long flows, because a short
+	// flow usually ends before a partition could affect it.
 	remotePenalty         = 4.0
 	minRemotePenalty      = 0.25
-	regionPenalty         = 2.0 // more for another region, whose round trip takes a run time
+	regionPenalty         = 2.0 // added for another region: the round trip takes as long as running a request
 	shortFlowLowPressure  = 0.5
 	shortFlowHighPressure = 1.0
 	longFlowLowPressure   = 0.8
 	longFlowHighPressure  = 1.6
-	// coldFactor is how much slower a target is just after its start.
+	// slowStartFactor is the factor by which a target in slow start is slower.
 	slowStartFactor = 1.6
-	// localSample and remoteSample are the numbers of candidates of the own and
-	// of other data centres up to which all are compared; of more, as many are
-	// drawn, which bounds the cost of a choice.
+	// maxLocalSample and maxRemoteSample bound the numbers of local and remote
+	// candidates that are compared for a new flow. Longer lists are sampled at
+	// random, which bounds the cost of placing a flow.
 	maxLocalSample  = 16
 	maxRemoteSample = 12
-	// firstRetry and maxRetry bound the time for which a suspected target gets
-	// no flows; it doubles with each try in vain. An opening packet that
-	// was merely lost costs the target firstRetry.
+	// minRetryDelay and maxRetryDelay bound the time for which a suspected target
+	// gets no flows. The delay doubles with each failed retry. A single lost
+	// opening packet excludes a healthy target for minRetryDelay.
 	minRetryDelay = time.Second
 	maxRetryDelay = 4 * time.Second
 )
 
-// selection finds the best candidate for a flow.
+// selection holds the best candidates found so far for a new flow.
 type selection struct {
-	best, fallback         *target // the fallback is suspected or to be avoided
+	best, fallback         *target // fallback is excluded by suspicion, or is the target to avoid
 	bestLoad, fallbackLoad float64
 }
 
 // choose returns the target with the lowest load for a new flow to a service,
-// or nil when the service has none. Suspected targets and avoid are taken only
-// if there are no others. long tells that flows of this route stay open.
+// or nil when the service has none. Suspected targets and avoid are used only if
+// there are no others. long means that flows of this route usually carry several
+// requests.
 func (c *Core) choose(now ids.Time, service ids.Service, avoid *target, long bool) *target {
 	p := c.targets.pools[service]
 	if p == nil {
@@ -61,8 +62,8 @@
 	return s.fallback
 }
 
-// penalty returns the load per slot that counts against other data centres at a
-// pressure on the own one.
+// remotePenaltyAt returns the load per slot that is added to targets of other
+// data centres at the given pressure on the local data centre.
 func remotePenaltyAt(pressure float64, long bool) float64 {
 	low, high := shortFlowLowPressure, shortFlowHighPressure
 	if long {
@@ -72,10 +73,11 @@
 	return remotePenalty + part*(minRemotePenalty-remotePenalty)
 }
 
-// consider compares up to sample candidates of a list.
+// compareCandidates compares up to sample candidates from list and updates s. It
+// adds extra to their load.
 func (c *Core) compareCandidates(now ids.Time, s *selection, list []*target, sample int, avoid *target, extra float64) {
 	n := min(len(list), sample)
-	start := c.randomIndex(len(list)) // ties do not always favour the first
+	start := c.randomIndex(len(list)) // random start, so that ties do not always favour the first target
 	for i := range n {
 		t := list[(start+i)%len(list)]
 		if len(list) > sample {
@@ -97,7 +99,8 @@
 	}
 }
 
-// load is the number of requests that a new flow would find at t, per slot.
+// load returns the number of active requests per slot that t would have with one
+// more request. Idle flows and slow start add to it.
 func (t *target) load(now ids.Time) float64 {
 	load := (float64(t.activeRequests+1) + idleFlowLoad*float64(t.flows)) / float64(t.Slots)
 	if now.Before(t.slowStartUntil) {
@@ -106,7 +109,7 @@
 	return load
 }
 
-// draw returns a number from 0 to n-1, or 0 when n is 0.
+// randomIndex returns a pseudo-random number from 0 to n-1, or 0 when n is 0.
 func (c *Core) randomIndex(n int) int {
 	c.rngState = ids.Mix(c.rngState, 1)
 	if n == 0 {
--- a/internal/passthrough/config.go
+++ b/internal/passthrough/config.go
@@ -13,16 +13,16 @@
 	Weight  uint32
 }
 
-// Route says to which services new flows to an address go.
+// Route maps an address to the services that receive new flows to it.
 type Route struct {
 	Name       string
 	Address    Endpoint
-	Splits     []Split // one entry where all flows go to one service
-	Idempotent bool    // requests inside may run more than once
+	Splits     []Split // a single entry sends all flows to one service
+	Idempotent bool    // requests on this route may be executed more than once
 	Timeout    time.Duration
 }
 
-// Equal reports whether r and o say the same.
+// Equal reports whether r and o are the same route with the same settings.
 func (r *Route) Equal(o *Route) bool {
 	return r.Name == o.Name && r.Address == o.Address && r.Idempotent == o.Idempotent && r.Timeout == o.Timeout &&
 		slices.Equal(r.Splits, o.Splits)
@@ -32,13 +32,13 @@
 type Config struct {
 	Version     uint64
 	Routes      []Route
-	IdleTimeout time.Duration // a flow that is idle for longer may be forgotten
-	// Health holds the path of the health check of each service.
+	IdleTimeout time.Duration // idle time after which the state of a flow may be removed
+	// Health maps each service to the path of its health check.
 	Health map[ids.Service]string
 }
 
-// routeTable holds the routes of the version in force. It never goes back to an
-// older version.
+// routeTable holds the routes of the active configuration version. It never
+// reverts to an older version.
 type routeTable struct {
 	version uint64
 	idle    time.Duration
@@ -46,7 +46,7 @@
 	health  map[ids.Service]string
 }
 
-// apply puts c in force unless it is not newer than the present version.
+// apply activates c and returns true if c is newer than the active version.
 func (t *routeTable) apply(c *Config) bool {
 	if t.routes != nil && c.Version <= t.version {
 		return false
@@ -59,8 +59,9 @@
 	return true
 }
 
-// service returns the service for a new flow on r. The choice depends on the
-// flow alone, so that copies of an opening packet agree at every instance.
+// service returns the service for a new flow on r. The choice depends only on the
+// flow key, so all instances choose the same service for copies of an opening
+// packet.
 func (r *Route) service(flow FlowKey) ids.Service {
 	if len(r.Splits) == 1 {
 		return r.Splits[0].Service
--- a/internal/passthrough/core.go
+++ b/internal/passthrough/core.go
@@ -7,14 +7,14 @@
 	"arbutusdock.example/arbutusdock/internal/ids"
 )
 
-// Settings of a Core.
+// Settings are the parameters of a Core.
 type Settings struct {
-	DataCentre        ids.DataCentre    // own data centre
-	Regions           map[string]string // by data centre; one that is missing counts as near
-	MaxFlows          int               // flows remembered, FlowBytes each
-	FlowLifetime      time.Duration     // age after which a flow may be forgotten
-	HeartbeatInterval time.Duration     // interval at which targets renew their records
-	Seed              uint64            // of random choices
+	DataCentre        ids.DataCentre    // data centre of this instance
+	Regions           map[string]string // region of each data centre; a data centre without one counts as the same region
+	MaxFlows          int               // limit of the flow table, FlowBytes per entry
+	FlowLifetime      time.Duration     // time after which the state of a flow may be removed
+	HeartbeatInterval time.Duration     // interval at which targets refresh their records
+	Seed              uint64            // seed of the pseudo-random choices
 }
 
 // Core is the decision logic of one instance.
@@ -27,69 +27,69 @@
 	rngState        uint64
 	events          []Event
 	checks          []Check
-	removals        []removal            // targets whose cookies are kept for their open flows
-	requestsPerFlow map[Endpoint]float64 // by route: smoothed number of requests of a flow
+	removals        []removal            // removed targets whose cookies are kept for their open flows
+	requestsPerFlow map[Endpoint]float64 // by route address: moving average of the requests per flow
 
-	instanceCount int // that share the callers of the data centre
+	instanceCount int // instances that share the callers of the data centre
 
-	lastAlive           ids.Time // last sign of life of any target
-	listReceivedAt      ids.Time // when all targets were known for the first time
-	platformRecoveredAt ids.Time // when the platform answered again after an outage
+	lastAlive           ids.Time // when any target last proved that it is alive
+	listReceivedAt      ids.Time // when the first complete list of targets arrived
+	platformRecoveredAt ids.Time // when the platform last answered again after an outage
 	lastSweep           ids.Time
 }
 
-// removal is a target that was removed at a time.
+// removal records when a target was removed.
 type removal struct {
 	name      string
 	startedAt int64
 	removedAt ids.Time
 }
 
-// New returns a core without configuration and targets.
+// New returns a core that has no configuration and no targets.
 func New(s Settings) *Core {
 	return &Core{settings: s, targets: newTargetTable(s.DataCentre, s.Regions), requestsPerFlow: map[Endpoint]float64{}, instanceCount: 1, flows: newFlowTable(max(s.MaxFlows, 1)), rngState: s.Seed}
 }
 
-// Verdict is what is to be done with a packet.
+// Verdict is the action to take on a packet.
 type Verdict uint8
 
 // Verdicts.
 const (
 	Drop Verdict = iota
 	Forward
-	Reset // answer the caller with a reset
+	Reset // send a reset to the caller
 )
 
-// Reason is the input that decided.
+// Reason is the cause of a decision.
 type Reason uint8
 
 // Reasons.
 const (
-	KnownCookie       Reason = iota // the cookie names the target
-	Placed                          // a new flow
-	Replaced                        // a copy of an opening packet goes to another target
-	Repeated                        // a copy of an opening packet goes to the same target
-	NoConfig                        // no configuration yet
-	NoRoute                         // no route for this address
+	KnownCookie       Reason = iota // the cookie identifies the target
+	Placed                          // a new flow was placed on a target
+	Replaced                        // a copy of an opening packet is sent to another target
+	Repeated                        // a copy of an opening packet is sent to the same target
+	NoConfig                        // no configuration has been received yet
+	NoRoute                         // there is no route for this address
 	RouteDropped                    // the route of the open flow has been removed
 	NoTarget                        // the service has no target
-	UnknownCookie                   // the cookie names no known target
-	NoCookie                        // not an opening packet, and without a cookie
-	TargetGone                      // the target of the open flow has ended
-	TargetUnreachable               // the target of the open flow is out of reach
+	UnknownCookie                   // the cookie identifies no known target
+	NoCookie                        // the packet is not an opening packet and has no cookie
+	TargetGone                      // the target of the open flow has terminated
+	TargetUnreachable               // the target of the open flow is unreachable
 	reasonCount
 )
 
-// Reasons is the number of reasons.
+// NumReasons is the number of reasons.
 const NumReasons = int(reasonCount)
 
 var reasonNames = [...]string{"known", "placed", "replaced", "repeated", "no_config", "no_route", "route_dropped", "no_target", "unknown_cookie", "no_cookie", "target_gone", "target_unreachable"}
 
 func (r Reason) String() string { return reasonNames[r] }
 
-// Decision says what is to be done with a packet. The packet goes to Address,
-// addressed to Identity, with Cookie written into it if Reason is Placed,
-// Replaced or Repeated.
+// Decision tells what to do with a packet. A forwarded packet is sent to Address
+// with Identity as its destination. If Reason is Placed, Replaced or Repeated,
+// Cookie is written into the packet.
 type Decision struct {
 	Verdict        Verdict
 	Reason         Reason
@@ -98,20 +98,21 @@
 	Cookie         Cookie
 	Target         string      // name of the target, for logs
 	Service        ids.Service // for logs
-	ActiveRequests int         // requests in progress at the target before a placement
+	ActiveRequests int         // active requests of this instance at the target before this decision
 	Remote         bool        // the target is in another data centre
-	Adopted        bool        // the flow was not known here; it came from another instance
+	Adopted        bool        // the flow had no entry in the flow table: another instance forwarded its earlier packets
 
-	// Answered is the time from an opening packet to the caller's packet that
-	// follows the answer, Served that from a request to the acknowledgement of
-	// the first answered byte. Both are 0 for other packets.
-	HandshakeTime, ResponseTime time.Duration
-	// Stalled is the time since a request whose data the caller repeats; 0 for
+	// HandshakeTime is the time from the opening packet to the caller's first
+	// packet after the target's answer. ResponseTime is the time from a request to
+	// the caller's acknowledgement of the first response byte. Both are 0 for
 	// other packets.
+	HandshakeTime, ResponseTime time.Duration
+	// StalledFor is the time since the request whose data the caller retransmits
+	// with this packet; 0 for other packets.
 	StalledFor time.Duration
 }
 
-// Packet decides about one packet of a caller.
+// HandlePacket returns the decision on one packet of a caller.
 func (c *Core) HandlePacket(now ids.Time, p *Packet) Decision {
 	c.expireOpenings(now)
 	if p.isOpening() {
@@ -140,7 +141,8 @@
 	return d
 }
 
-// dropped ends an open flow whose route has been removed.
+// resetRemovedRoute resets an open flow whose route has been removed. A reset of
+// the caller is not answered with a reset.
 func (c *Core) resetRemovedRoute(p *Packet) Decision {
 	if f := c.flows.get(p.Flow); f != nil {
 		c.removeFlow(f)
@@ -158,7 +160,7 @@
 	}
 }
 
-// open decides about an opening packet or a copy of one.
+// placeFlow returns the decision on an opening packet or a copy of one.
 func (c *Core) placeFlow(now ids.Time, p *Packet) Decision {
 	if c.routes.routes == nil {
 		return Decision{Reason: NoConfig}
@@ -173,8 +175,8 @@
 	if f != nil {
 		t := c.target(f)
 		if t != nil && t.usable() && f.state == flowOpening && now.Sub(f.forwardedAt) < openingTimeout {
-			// The answer may still be on its way: another target would give the
-			// caller two answers for one flow.
+			// The answer may still be in transit. With a second target the caller
+			// would get two answers for one flow.
 			return c.forwardTo(t, Repeated)
 		}
 		if t != nil && f.state == flowOpening {
@@ -189,7 +191,7 @@
 		return c.noTargetDecision(now, route.service(p.Flow))
 	}
 	if t.suspicion.State() == chart.Suspected {
-		t.scheduleRetry(now) // one flow at a time tries a suspected target
+		t.scheduleRetry(now) // only one flow at a time is placed on a suspected target
 	}
 	d := c.forwardTo(t, reason)
 	f, evicted := c.flows.add(p.Flow)
@@ -202,9 +204,10 @@
 	return d
 }
 
-// noTarget tells the caller at once that its flow cannot be served, unless the
-// records of live targets may have lapsed: then one may be there for the next copy
-// of the opening packet.
+// noTargetDecision resets a new flow whose service has no target. Within
+// recordGracePeriod after the first list of targets or after an outage of the
+// platform it drops the packet instead: the records of live targets may have
+// expired, and one may be back for the next copy of the opening packet.
 func (c *Core) noTargetDecision(now ids.Time, service ids.Service) Decision {
 	d := Decision{Reason: NoTarget, Service: service}
 	if c.listReceivedAt != 0 && now.Sub(max(c.listReceivedAt, c.platformRecoveredAt)) >= recordGracePeriod {
@@ -213,14 +216,15 @@
 	return d
 }
 
-// observe learns from a packet of an open flow and adds what it found to d.
+// observePacket updates the state of a flow and its target t from a packet of an
+// open flow, and fills in the measurements in d.
 func (c *Core) observePacket(now ids.Time, p *Packet, t *target, d *Decision) {
 	f := c.flows.get(p.Flow)
 	if f == nil {
 		if p.Length == 0 || p.Flags.Has(FIN) || p.Flags.Has(RST) {
 			return
 		}
-		// The flow came from another instance.
+		// Another instance forwarded the earlier packets of this flow.
 		var evicted flow
 		f, evicted = c.flows.add(p.Flow)
 		c.subtractLoad(&evicted)
@@ -254,7 +258,7 @@
 	}
 }
 
-// data learns from a packet with request data.
+// observeData updates the state of f and t from a packet with request data.
 func (c *Core) observeData(now ids.Time, p *Packet, f *flow, t *target, d *Decision) {
 	end := p.Seq + uint32(p.Length)
 	if int32(end-f.nextSeq) > 0 {
@@ -262,12 +266,12 @@
 		if !f.requestActive {
 			f.requestActive, f.requestedAt = true, now
 			f.requests++
-			t.addBusy(1)
+			t.addActiveRequests(1)
 		}
 		return
 	}
 	if !f.requestActive || now.Sub(f.requestedAt) < minRetransmitTime {
-		return // its packets came out of order
+		return // the packets of the request arrived out of order
 	}
 	d.StalledFor = now.Sub(f.requestedAt)
 	if t.retransmits++; t.retransmits >= 2 {
@@ -275,26 +279,26 @@
 	}
 }
 
-// repeatTime is the least time after which a caller repeats its data; its first
-// repetition comes after 200 ms.
+// minRetransmitTime is the age of a request from which old data counts as a
+// retransmission instead of reordering. Callers first retransmit after 200 ms.
 const minRetransmitTime = 150 * time.Millisecond
 
-// move counts f for another target than before.
+// reassignFlow moves the load of f from its former target to t.
 func (c *Core) reassignFlow(f *flow, t *target) {
 	c.subtractLoad(f)
 	f.target, f.generation, f.requestActive = t.index, t.generation, false
 	t.flows++
 }
 
-// finish ends the request in progress on f.
+// finishRequest ends the active request of f.
 func (c *Core) finishRequest(f *flow, t *target) {
 	if f.requestActive {
 		f.requestActive = false
-		t.addBusy(-1)
+		t.addActiveRequests(-1)
 	}
 }
 
-// uncount takes f off the load of its target.
+// subtractLoad removes f from the load of its target.
 func (c *Core) subtractLoad(f *flow) {
 	if f.state == flowFree {
 		return
@@ -305,25 +309,26 @@
 	}
 }
 
-// target returns the target of f, nil if it was forgotten.
+// target returns the target of f, or nil if its state has been deleted.
 func (c *Core) target(f *flow) *target { return c.targets.byIndex(f.target, f.generation) }
 
-// lengthWeight is the weight of one flow in the smoothed number of requests of
-// the flows of a route, and longFlow the number above which its flows count as
-// long.
+// requestsPerFlowWeight is the weight of one flow in the moving average of the
+// requests per flow of a route. Above longFlowRequests the flows of a route count
+// as long.
 const (
 	requestsPerFlowWeight = 0.05
 	longFlowRequests      = 1.5
 )
 
-// long reports whether flows to an address usually carry several requests. A
-// route that is not known yet counts as long.
+// hasLongFlows reports whether flows to an address usually carry several
+// requests. It returns true for an address without data.
 func (c *Core) hasLongFlows(to Endpoint) bool {
 	length, known := c.requestsPerFlow[to]
 	return !known || length > longFlowRequests
 }
 
-// release forgets f.
+// removeFlow removes f from the flow table and from the load of its target, and
+// adds it to the average number of requests per flow.
 func (c *Core) removeFlow(f *flow) {
 	if f.requests > 0 {
 		length, known := c.requestsPerFlow[f.key.Service]
--- a/internal/passthrough/event.go
+++ b/internal/passthrough/event.go
@@ -6,38 +6,38 @@
 	"arbutusdock.example/arbutusdock/internal/ids"
 )
 
-// EventKind tells what a core has learned.
+// EventKind is the type of an event.
 type EventKind uint8
 
 // Kinds of events.
 const (
-	ConfigApplied   EventKind = iota // a version came into force
-	TargetChanged                    // lifecycle or address of a target
-	TargetLapsed                     // the record is missing after an outage of the platform
-	TargetSuspected                  // a target gets no new flows for a while
-	TargetTrusted                    // a suspected target has shown that it is alive
-	TargetChecked                    // a health check found it gone or out of reach
+	ConfigApplied   EventKind = iota // a configuration version became active
+	TargetChanged                    // the lifecycle state or address of a target changed
+	TargetLapsed                     // the record of a target is missing after an outage of the platform
+	TargetSuspected                  // a target is suspected to have failed and gets no new flows for a while
+	TargetTrusted                    // a suspected target has proved that it is alive
+	TargetChecked                    // a health check found a target replaced or unreachable
 )
 
 var eventNames = [...]string{"config-applied", "target-changed", "target-lapsed", "target-suspected", "target-trusted", "target-checked"}
 
 func (k EventKind) String() string { return eventNames[k] }
 
-// Event is one change of what a core believes. Fields that do not belong to its
-// kind are zero.
+// Event is a change of the state of a core. Fields that do not apply to its kind
+// are zero.
 type Event struct {
 	Kind                EventKind
 	Target              string
 	Service             ids.Service
 	Address             Endpoint
-	Reason              string        // new state of the target, why it is suspected, or the outcome of a check
-	Age                 time.Duration // of the evidence
-	Version, OldVersion uint64        // of the configuration
-	Routes              int           // routes
+	Reason              string        // new lifecycle state, cause of the suspicion, or outcome of the health check
+	Age                 time.Duration // time since the unanswered packet was sent or the check began
+	Version, OldVersion uint64        // new and former configuration version
+	Routes              int           // number of routes in the new version
 }
 
-// eventLimit bounds the events between two calls of Events, so that a core
-// whose events nobody takes does not grow.
+// maxEvents bounds the events between two calls of TakeEvents, so that memory
+// stays bounded if it is not called. Further events are discarded.
 const maxEvents = 4096
 
 func (c *Core) addEvent(e Event) {
@@ -46,7 +46,7 @@
 	}
 }
 
-// Events calls f with each event since the last call.
+// TakeEvents calls f with each event since the last call and removes the events.
 func (c *Core) TakeEvents(f func(Event)) {
 	for _, e := range c.events {
 		f(e)
--- a/internal/passthrough/flow.go
+++ b/internal/passthrough/flow.go
@@ -4,44 +4,44 @@
 	"arbutusdock.example/arbutusdock/internal/ids"
 )
 
-// flowState is how far a flow has come, as seen from the caller's packets.
+// flowState is the connection state of a flow, derived from the caller's packets.
 type flowState uint8
 
 const (
-	flowFree    flowState = iota // the record is not in use
-	flowOpening                  // the opening packet was forwarded
-	flowOpen                     // the caller has answered the target
+	flowFree    flowState = iota // the entry is unused
+	flowOpening                  // an opening packet was forwarded
+	flowOpen                     // the caller has sent a packet after the target's answer
 	flowClosing                  // the caller has sent a FIN
 )
 
-// flow is what an instance remembers of a flow. Nothing in it is needed to
-// forward packets of an open flow; it serves load figures, failure detection
-// and the treatment of repeated opening packets. It takes FlowBytes.
+// flow is the state that an instance keeps of a flow. Forwarding packets of an
+// open flow does not need it; it is used for load figures, failure detection and
+// the handling of repeated opening packets. FlowBytes is its size.
 type flow struct {
 	key           FlowKey
 	state         flowState
 	requestActive bool   // a request is in progress
-	requests      uint16 // seen so far
-	target        int32  // index of the target
-	generation    uint32 // of the target
-	nextSeq       uint32 // end of the caller's data seen so far
-	ack           uint32 // greatest acknowledgement of the caller so far
+	requests      uint16 // number of requests so far
+	target        int32  // index of the target in targetTable.slots
+	generation    uint32 // generation of the target
+	nextSeq       uint32 // next sequence number after the caller's data so far
+	ack           uint32 // highest acknowledgement number of the caller so far
 	lastSeen      ids.Time
-	forwardedAt   ids.Time // when the opening packet last went to target
-	requestedAt   ids.Time // when the request in progress was first seen
+	forwardedAt   ids.Time // when the last opening packet was sent to target
+	requestedAt   ids.Time // when the first packet of the active request arrived
 }
 
-// FlowBytes is the memory that one remembered flow takes, with its entry in
-// the index at the load factor of the map.
+// FlowBytes is the memory use of one entry of the flow table, including its entry
+// in the index at the load factor of the map.
 const FlowBytes = 72 + 32
 
-// flowTable is a bounded set of flows. A full table forgets the flow that has
-// been idle for longest among a few.
+// flowTable is a bounded table of flows. When it is full, a new flow evicts the
+// one that has been idle for the longest time among evictionSample entries.
 type flowTable struct {
 	index      map[FlowKey]int32
 	slots      []flow
 	free       []int32
-	sweepIndex int // position of the sweep
+	sweepIndex int // slot that the sweep or the eviction examined last
 	limit      int
 }
 
@@ -49,7 +49,7 @@
 	return flowTable{index: map[FlowKey]int32{}, limit: limit}
 }
 
-// get returns the flow with this key, or nil.
+// get returns the flow with the given key, or nil.
 func (ft *flowTable) get(key FlowKey) *flow {
 	if i, ok := ft.index[key]; ok {
 		return &ft.slots[i]
@@ -57,8 +57,8 @@
 	return nil
 }
 
-// add returns a new record for key, which is not in the table. evicted holds
-// the flow that had to make room, if any.
+// add returns a new entry for key, which must not be in the table. evicted is a
+// copy of the flow that was evicted for it, or the zero value.
 func (ft *flowTable) add(key FlowKey) (f *flow, evicted flow) {
 	var i int32
 	switch n := len(ft.free); {
@@ -78,8 +78,8 @@
 	return &ft.slots[i], evicted
 }
 
-// evictionSample is the number of records among which a full table looks for
-// the one that has been idle for longest; it bounds the cost of an insertion.
+// evictionSample is the number of entries that a full table examines for the one
+// that has been idle for the longest time. It bounds the cost of an insertion.
 const evictionSample = 16
 
 func (ft *flowTable) evictionCandidate() int32 {
--- a/internal/passthrough/inspect.go
+++ b/internal/passthrough/inspect.go
@@ -8,7 +8,7 @@
 	"arbutusdock.example/arbutusdock/internal/ids"
 )
 
-// TargetState is what a core believes of a target.
+// TargetState is the state that a core holds of a target.
 type TargetState struct {
 	Name       string
 	Service    ids.Service
@@ -17,23 +17,23 @@
 	Cookie     Cookie
 	Lifecycle  string
 	Suspected  bool
-	RetryIn    time.Duration // until a suspected target gets a flow again
-	Cold       time.Duration // how much longer it is slow after its start
-	Shadowed   bool          // gets no flows since an older target has its cookie
-	Busy       int           // requests in progress from this instance
+	RetryIn    time.Duration // time until a suspected target may get a flow again
+	Cold       time.Duration // remaining time of the slow start
+	Shadowed   bool          // gets no flows because an older target has the same cookie
+	Busy       int           // active requests from this instance
 	Flows      int           // open flows from this instance
-	Load       float64       // by which targets are compared; lower is better
+	Load       float64       // by which targets are compared; the lowest is chosen
 }
 
-// Snapshot is what a core believes.
+// Snapshot is a copy of the state of a core.
 type Snapshot struct {
-	Version uint64 // of the configuration; 0 for none
+	Version uint64 // version of the configuration; 0 for none
 	Routes  int
-	Flows   int // remembered
+	Flows   int // entries of the flow table
 	Targets []TargetState
 }
 
-// Snapshot returns what the core believes.
+// Snapshot returns a copy of the state of the core.
 func (c *Core) Snapshot(now ids.Time) Snapshot {
 	s := Snapshot{Version: c.routes.version, Routes: len(c.routes.routes), Flows: len(c.flows.index)}
 	for _, t := range c.targets.slots {
@@ -52,24 +52,24 @@
 	}
 }
 
-// Explanation tells what would happen to a packet now.
+// Explanation describes the decision that a packet would get now.
 type Explanation struct {
 	Verdict    string
 	Reason     string
 	Route      string
 	Service    ids.Service
 	Version    uint64
-	Pressure   float64       // requests in progress per slot of the own data centre
-	Target     string        // to which the packet would go
-	Candidates []TargetState // for a new flow
+	Pressure   float64       // smoothed number of active requests per slot of the local data centre
+	Target     string        // target that the packet would be forwarded to
+	Candidates []TargetState // all candidates for a new flow
 }
 
 var verdictNames = [...]string{Drop: "drop", Forward: "forward", Reset: "reset"}
 
 func (v Verdict) String() string { return verdictNames[v] }
 
-// Explain tells where a packet of a flow would go. A cookie of 0 stands for the
-// opening packet of a new flow. It changes nothing.
+// Explain returns the decision that a packet of a flow would get now. A cookie of
+// 0 stands for the opening packet of a new flow.
 func (c *Core) Explain(now ids.Time, flow FlowKey, cookie Cookie) Explanation {
 	e := Explanation{Version: c.routes.version, Verdict: Drop.String()}
 	set := func(v Verdict, r Reason) { e.Verdict, e.Reason = v.String(), r.String() }
--- a/internal/passthrough/learn.go
+++ b/internal/passthrough/learn.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	// lapseGrace is the time after the return of the platform within which a
-	// live target whose record had lapsed is back.
+	// recordGracePeriod is the time after an outage of the platform within which a
+	// live target whose record expired has published it again.
 	recordGracePeriod = 2 * time.Second
-	// sweepEvery is the interval at which a part of the flow table is checked
-	// for idle flows, and sweepParts the number of parts.
+	// sweepInterval is the interval at which a part of the flow table is checked
+	// for idle flows. Each time 1/sweepFraction of the table is checked.
 	sweepInterval = 100 * time.Millisecond
 	sweepFraction = 16
 )
 
-// SetInstances tells the core how many instances share the callers of its data
+// SetInstances sets the number of instances that share the callers of the data
 // centre.
 func (c *Core) SetInstances(n int) { c.instanceCount = max(n, 1) }
 
-// Config puts a version of the configuration in force, unless it is not newer
-// than the present one.
+// ApplyConfig activates a version of the configuration and returns true if the
+// version is newer than the active one.
 func (c *Core) ApplyConfig(config *Config) bool {
 	old := c.routes.version
 	if !c.routes.apply(config) {
@@ -37,10 +37,10 @@
 	return true
 }
 
-// Version returns the version of the configuration in force, 0 for none.
+// Version returns the version of the active configuration, or 0 if there is none.
 func (c *Core) Version() uint64 { return c.routes.version }
 
-// Put records what a target has published.
+// PutTarget adds a target or updates its record.
 func (c *Core) PutTarget(now ids.Time, r *TargetRecord) {
 	t, changed := c.targets.put(now, r)
 	if changed {
@@ -50,9 +50,9 @@
 
 func (c *Core) lifecycleName(t *target) string { return chart.Backend.StateName(t.lifecycle.State()) }
 
-// Remove records that a target's record has disappeared from the platform.
-// Shortly after an outage of the platform the record may merely have lapsed;
-// then the target stays in use for a while.
+// RemoveTarget handles the disappearance of a target's record from the platform.
+// Shortly after an outage of the platform the record of a live target may have
+// expired, so the target then stays in use until recordGracePeriod is over.
 func (c *Core) RemoveTarget(now ids.Time, name string) {
 	t := c.targets.byName[name]
 	if t == nil || t.lifecycle.State() == chart.BackendGone || t.missingSince != 0 {
@@ -66,8 +66,8 @@
 	c.retireTarget(now, t)
 }
 
-// Disregard records that the entry of a target cannot be read any more. The
-// target gets no new flows, but it may be alive.
+// RemoveUnreadable handles a target whose record has become unreadable. The target
+// gets no new flows, but its open flows are kept because it may be alive.
 func (c *Core) RemoveUnreadable(now ids.Time, name string) {
 	if t := c.targets.byName[name]; t != nil && t.lifecycle.State() != chart.BackendGone {
 		c.retireTarget(now, t)
@@ -75,8 +75,8 @@
 	}
 }
 
-// remove ends the use of t, whose record has disappeared while the platform was
-// up: it has left, or was silent for several heartbeats.
+// retireTarget stops new flows to t, whose record has disappeared while the
+// platform was up: t was shut down, or has missed several heartbeats.
 func (c *Core) retireTarget(now ids.Time, t *target) {
 	c.targets.retire(t)
 	t.presumedDead = t.Draining || !c.aliveAfterMissedHeartbeat(now, t)
@@ -84,18 +84,18 @@
 	c.addEvent(Event{Kind: TargetChanged, Target: t.Name, Service: t.Service, Reason: c.lifecycleName(t), Address: t.Address})
 }
 
-// heartbeatsMissed is the number of heartbeats that a target has missed for
-// certain when its record lapses: the third is due at that moment.
+// missedHeartbeats is the number of heartbeats that a target has certainly missed
+// when its record expires. The third is due at that moment.
 const missedHeartbeats = 2
 
-// outlived reports whether a target has shown a sign of life after the first
-// heartbeat that it missed: then it was not dead but cut off from the platform.
+// aliveAfterMissedHeartbeat reports whether a target has proved that it is alive
+// after its first missed heartbeat: it is then only cut off from the platform.
 func (c *Core) aliveAfterMissedHeartbeat(now ids.Time, t *target) bool {
 	return t.lastAlive != 0 && now.Sub(t.lastAlive) < missedHeartbeats*c.settings.HeartbeatInterval
 }
 
-// Replace records a complete list of targets. Those that are not in it are
-// removed.
+// ReplaceTargets applies a complete list of targets. Targets that are not in the
+// list are removed.
 func (c *Core) ReplaceTargets(now ids.Time, list []*TargetRecord) {
 	if c.listReceivedAt == 0 {
 		c.listReceivedAt = now
@@ -112,11 +112,11 @@
 	}
 }
 
-// PlatformBack records that the platform answers again after an outage.
+// PlatformRecovered records that the platform answers again after an outage.
 func (c *Core) PlatformRecovered(now ids.Time) { c.platformRecoveredAt = now }
 
-// Tick does the work that is due with the passage of time. It is to be called
-// at least every sweepEvery while there are flows.
+// Tick performs the work that depends on time. It must be called at least every
+// sweepInterval while there are flows.
 func (c *Core) Tick(now ids.Time) {
 	c.expireOpenings(now)
 	if now.Sub(c.lastSweep) < sweepInterval {
@@ -139,8 +139,8 @@
 			t.lifecycle.Fire(chart.BackendReady)
 		}
 	}
-	// A flow lives at most FlowLife, so that after it no cookie names a target
-	// that was removed.
+	// A flow lasts at most FlowLifetime. After that time no packet carries the
+	// cookie of a removed target.
 	for len(c.removals) > 0 && now.Sub(c.removals[0].removedAt) >= c.settings.FlowLifetime {
 		r := c.removals[0]
 		c.removals = c.removals[1:]
@@ -167,15 +167,16 @@
 			continue
 		}
 		if t := c.target(f); t != nil && f.requestActive && idle > c.requestTimeout(f) {
-			c.finishRequest(f, t) // the caller has given up
+			c.finishRequest(f, t) // the caller's request has timed out
 		}
 	}
 }
 
-// openingLife is the time after which a caller has given up an opening.
+// maxOpeningAge is the time after which a caller stops sending copies of an opening
+// packet.
 const maxOpeningAge = 1400 * time.Millisecond
 
-// defaultTimeout is the longest time of a request on a route without one.
+// defaultRequestTimeout is the request timeout of a route that sets none.
 const defaultRequestTimeout = 5 * time.Second
 
 func (c *Core) requestTimeout(f *flow) time.Duration {
--- a/internal/passthrough/pool.go
+++ b/internal/passthrough/pool.go
@@ -7,21 +7,21 @@
 	"arbutusdock.example/arbutusdock/internal/ids"
 )
 
-// pressureTime is the time constant of the smoothed pressure: several run times
-// of a request, and short against a swing of the demand.
+// pressureTimeConstant is the time constant of the smoothed pressure. It spans
+// several run times of a request and is short compared with changes in demand.
 const pressureTimeConstant = 200 * time.Millisecond
 
-// pool holds the candidates of one service.
+// pool holds the targets of one service that may get new flows.
 type pool struct {
-	local, remote  []*target // in the own data centre and in others
-	slots          int       // of the local ones
-	activeRequests int       // requests of this instance in progress at the local ones
+	local, remote  []*target // targets in the local data centre and in others
+	slots          int       // total slots of the local targets
+	activeRequests int       // active requests of this instance at the local targets
 
-	pressure  float64 // smoothed requests in progress per local slot
+	pressure  float64 // moving average of the active requests per local slot
 	updatedAt ids.Time
 }
 
-// add puts t among the candidates.
+// add adds t to the pool.
 func (p *pool) add(t *target) {
 	list := p.members(t)
 	t.pool, t.poolIndex = p, len(*list)
@@ -32,7 +32,7 @@
 	}
 }
 
-// unlist takes t out of the candidates, if it is one.
+// leavePool removes t from its pool, if it is in one.
 func (t *target) leavePool() {
 	p := t.pool
 	if p == nil {
@@ -57,9 +57,10 @@
 	return &p.remote
 }
 
-// update returns the smoothed pressure on the local candidates: the requests in
-// progress per slot, of all instances. Each of them sees an equal share of the
-// callers, so the own requests times their number stand for all.
+// updatePressure updates and returns the smoothed pressure on the local targets:
+// the active requests of all instances per slot. Every instance serves an equal
+// share of the callers, so the total is estimated as the requests of this instance
+// times the number of instances.
 func (p *pool) updatePressure(now ids.Time, instances int) float64 {
 	if p.slots == 0 {
 		return math.Inf(1)
--- a/internal/passthrough/target.go
+++ b/internal/passthrough/target.go
@@ -7,68 +7,67 @@
 	"arbutusdock.example/arbutusdock/internal/ids"
 )
 
-// TargetRecord is what a backend server has published about itself.
+// TargetRecord is the record that a backend server publishes about itself.
 type TargetRecord struct {
 	Name       string         `cbor:"1,keyasint,omitempty"` // published name of this incarnation
-	Identity   uint64         `cbor:"2,keyasint,omitempty"` // number by which a datagram names the backend server
+	Identity   uint64         `cbor:"2,keyasint,omitempty"` // number that identifies the backend server in datagrams
 	Service    ids.Service    `cbor:"3,keyasint,omitempty"`
 	Address    Endpoint       `cbor:"4,keyasint,omitempty"`
 	DataCentre ids.DataCentre `cbor:"5,keyasint,omitempty"`
-	Slots      int            `cbor:"6,keyasint,omitempty"` // requests that it runs at a time
+	Slots      int            `cbor:"6,keyasint,omitempty"` // number of requests that it runs concurrently
 	Draining   bool           `cbor:"7,keyasint,omitempty"`
-	SlowStart  time.Duration  `cbor:"8,keyasint,omitempty"` // how much longer it is slow after its start
-	StartedAt  int64          `cbor:"9,keyasint,omitempty"` // start of this incarnation, Unix milliseconds; 0 if not published
+	SlowStart  time.Duration  `cbor:"8,keyasint,omitempty"` // remaining time of its slow start
+	StartedAt  int64          `cbor:"9,keyasint,omitempty"` // start time of this incarnation in Unix milliseconds; 0 if not published
 }
 
-// target is the state kept of one backend server.
+// target is the state of one incarnation of a backend server.
 type target struct {
 	TargetRecord
 	cookie         Cookie
-	lifecycle      chart.Machine // chart.Backend
-	suspicion      chart.Machine // chart.Suspicion
+	lifecycle      chart.Machine // runs chart.Backend
+	suspicion      chart.Machine // runs chart.Suspicion
 	slowStartUntil ids.Time
-	// missingSince is when the record disappeared after the platform had been
-	// away; zero while the record is there.
+	// missingSince is when the record disappeared after an outage of the platform;
+	// zero while the record exists.
 	missingSince     ids.Time
-	presumedDead     bool // its record disappeared, and nothing shows that it lives on
-	addressReused    bool // a check found another target at its address
+	presumedDead     bool // its record disappeared and nothing indicates that it is still alive
+	addressReused    bool // a health check found another target at its address
 	lastCheckAt      ids.Time
-	unreachableUntil ids.Time // until then it counts as out of reach
-	retransmits      int      // packets with data repeated to it since the last sign of life
-	// retryAt is when a suspected target may get a flow again.
+	unreachableUntil ids.Time // the target counts as unreachable until then
+	retransmits      int      // packets with retransmitted data since lastAlive
+	// retryAt is the time from which a suspected target may get a flow again.
 	retryAt   ids.Time
-	retries   int // since the last sign of life
+	retries   int // flows placed on it while suspected, and suspicions, since lastAlive
 	lastAlive ids.Time
 
-	activeRequests int // requests in progress, from this instance
+	activeRequests int // active requests from this instance
 	flows          int // open flows, from this instance
 	index          int32
-	generation     uint32 // tells it from other targets that have had the same index
+	generation     uint32 // distinguishes it from former targets with the same index
 	shadowed       bool   // an older target has the same cookie
-	pool           *pool  // in which it is a candidate, nil for none
-	local          bool   // it is in the data centre of the instance
-	otherRegion    bool   // it is in another region
-	poolIndex      int    // in its list of the pool
+	pool           *pool  // pool that contains it, or nil
+	local          bool   // in the data centre of this instance
+	otherRegion    bool   // in another region than this instance
+	poolIndex      int    // index in pool.local or pool.remote
 }
 
-// addBusy changes the number of requests in progress.
-func (t *target) addBusy(n int) {
+// addActiveRequests adds n to the number of active requests.
+func (t *target) addActiveRequests(n int) {
 	t.activeRequests += n
 	if t.pool != nil && t.local {
 		t.pool.activeRequests += n
 	}
 }
 
-// usable reports whether the target may get new flows at all.
+// usable reports whether the target may get new flows, apart from suspicion.
 func (t *target) usable() bool {
 	s := t.lifecycle.State()
 	return !t.shadowed && !t.addressReused && (s == chart.BackendStarting || s == chart.BackendServing)
 }
 
-// unanswerable reports whether p, a packet of one of its flows, will not be
-// answered any more, and why, so that the caller is better off with a reset.
-// Where the target is out of reach this is said of requests only: a flow without
-// one may outlast that.
+// resetReason reports whether to reset the flow of p because t will not answer p,
+// and the reason. If t is unreachable, only packets with request data are reset,
+// since t may become reachable again before an idle flow sends its next request.
 func (t *target) resetReason(now ids.Time, p *Packet) (Reason, bool) {
 	switch {
 	case p.Flags.Has(RST):
@@ -81,16 +80,16 @@
 	return TargetGone, t.presumedDead
 }
 
-// targetTable holds the backend servers by cookie and by service.
+// targetTable indexes the targets by name, by cookie and by service.
 type targetTable struct {
-	dataCentre     ids.DataCentre    // of the instance
-	regions        map[string]string // by data centre
+	dataCentre     ids.DataCentre    // data centre of the instance
+	regions        map[string]string // region of each data centre
 	byName         map[string]*target
 	byCookie       map[Cookie]*target
 	pools          map[ids.Service]*pool
-	slots          []*target // by index; nil entries are free
+	slots          []*target // by target.index; nil entries are free
 	freeIndexes    []int32
-	lastGeneration uint32 // targets so far
+	lastGeneration uint32 // generation of the target that was inserted last
 }
 
 func newTargetTable(dc ids.DataCentre, regions map[string]string) targetTable {
@@ -103,7 +102,7 @@
 	}
 }
 
-// at returns the target with this index and run, or nil.
+// byIndex returns the target with the given index and generation, or nil.
 func (tt *targetTable) byIndex(index int32, run uint32) *target {
 	if index < 0 || int(index) >= len(tt.slots) {
 		return nil
@@ -114,12 +113,13 @@
 	return nil
 }
 
-// put records what a target has published. changed is false when nothing but
-// counters differ from the present record.
+// put adds or updates a target from its record. changed reports whether the target
+// is new, was missing or gone, or has another drain state, address or service.
 func (tt *targetTable) put(now ids.Time, r *TargetRecord) (t *target, changed bool) {
 	t = tt.byName[r.Name]
 	if t != nil && t.StartedAt != r.StartedAt {
-		// The same name after a restart knows nothing of the flows before.
+		// A target that restarted under the same name does not have the flows of
+		// its former incarnation.
 		tt.delete(t)
 		t = nil
 	}
@@ -134,7 +134,7 @@
 	}
 	t.TargetRecord = *r
 	if changed {
-		t.addressReused, t.unreachableUntil = false, 0 // it has written since
+		t.addressReused, t.unreachableUntil = false, 0 // a changed record proves that the target is alive
 	}
 	t.missingSince, t.presumedDead = 0, false
 	t.slowStartUntil = now.Add(r.SlowStart)
@@ -166,14 +166,14 @@
 	tt.slots = append(tt.slots, t)
 }
 
-// remove ends the use of t for new flows. Its cookie stays known, so that open
-// flows reach it for as long as it lives.
+// retire stops new flows to t. Its cookie is kept, so that packets of open flows
+// are forwarded to it while it is alive.
 func (tt *targetTable) retire(t *target) {
 	t.lifecycle.Fire(chart.BackendRemove)
 	tt.updatePool(t)
 }
 
-// forget drops everything about t.
+// delete removes t and all of its state.
 func (tt *targetTable) delete(t *target) {
 	tt.retire(t)
 	delete(tt.byName, t.Name)
@@ -190,9 +190,10 @@
 	}
 }
 
-// claimCookie gives t its cookie. Of two targets with the same cookie only the
-// older one gets flows, since packets of the other could not be told apart. All
-// instances agree on it, as it follows from what the targets publish.
+// assignCookie registers t under its cookie. Of two targets with the same cookie
+// only the older one gets flows, since the cookie cannot distinguish their
+// packets. All instances make the same choice because it depends only on the
+// published records.
 func (tt *targetTable) assignCookie(t *target) {
 	t.shadowed = false
 	if holder := tt.byCookie[t.cookie]; holder != nil && holder != t {
@@ -214,14 +215,16 @@
 	return t.Identity < o.Identity
 }
 
-// far reports whether a data centre is known to be in another region.
+// inOtherRegion reports whether a data centre is known to be in another region than
+// this instance.
 func (tt *targetTable) inOtherRegion(dc ids.DataCentre) bool {
 	own, known := tt.regions[string(tt.dataCentre)]
 	other, also := tt.regions[string(dc)]
 	return known && also && own != other
 }
 
-// list puts t among the candidates of its service, or takes it out.
+// updatePool adds t to the pool of its service if it is usable, and removes it
+// otherwise.
 func (tt *targetTable) updatePool(t *target) {
 	switch {
 	case !t.usable():
--- a/internal/passthrough/trust.go
+++ b/internal/passthrough/trust.go
@@ -7,25 +7,26 @@
 	"arbutusdock.example/arbutusdock/internal/ids"
 )
 
-// answerTime is the time after which an opening packet that the caller has not
-// followed up counts as unanswered. A round trip between data centres takes
-// about 15 ms; the caller sends a copy after 200 ms.
+// openingTimeout is the time after which an opening packet counts as unanswered if
+// the caller has sent no further packet of the flow. A round trip between data
+// centres takes about 15 ms; the caller sends a copy after 200 ms.
 const openingTimeout = 100 * time.Millisecond
 
-// opening is an opening packet that awaits its answer.
+// pendingOpening is a forwarded opening packet that may still be unanswered.
 type pendingOpening struct {
 	flow FlowKey
 	sent ids.Time
 }
 
-// openings is a queue of opening packets in the order of their times.
+// openingQueue is a ring buffer of opening packets, ordered by time.
 type openingQueue struct {
 	ring        []pendingOpening
 	first, used int
 }
 
-// openingsLimit bounds the openings under observation: those of answerTime at
-// 40,000 new flows a second. Beyond it the oldest go unobserved.
+// maxPendingOpenings bounds the queue of opening packets. It covers openingTimeout
+// at 40,000 new flows a second. A full queue discards its oldest entry, so that
+// opening packet is not checked for an answer.
 const maxPendingOpenings = 4096
 
 func (q *openingQueue) push(o pendingOpening) {
@@ -46,8 +47,8 @@
 
 func (q *openingQueue) head() *pendingOpening { return &q.ring[q.first] }
 
-// checkOpenings counts a failure for each target that left an opening packet
-// unanswered.
+// expireOpenings records a failure for each target that has not answered an opening
+// packet within openingTimeout.
 func (c *Core) expireOpenings(now ids.Time) {
 	for c.openings.used > 0 && now.Sub(c.openings.head().sent) >= openingTimeout {
 		o := *c.openings.head()
@@ -62,16 +63,17 @@
 	}
 }
 
-// suspected reports whether t gets no flows for now. When the time for a retry
-// has come, one flow at a time tries it.
+// excluded reports whether t gets no flows because it is suspected. From retryAt
+// on, one flow at a time is placed on it as a trial.
 func (t *target) excluded(now ids.Time) bool {
 	return t.suspicion.State() == chart.Suspected && now.Before(t.retryAt)
 }
 
-// failed records that t gave no answer to a packet sent at a time.
+// recordFailure records that t has not answered a packet that was sent at the given
+// time.
 func (c *Core) recordFailure(now ids.Time, t *target, sent ids.Time, reason string) {
 	if sent.Before(t.lastAlive) {
-		return // it has shown since that it is alive
+		return // t has proved since then that it is alive
 	}
 	c.requestCheck(now, t)
 	if t.suspicion.State() == chart.Suspected {
@@ -82,7 +84,7 @@
 	c.addEvent(Event{Kind: TargetSuspected, Target: t.Name, Service: t.Service, Reason: reason, Age: now.Sub(sent)})
 }
 
-// requestCheck asks for a health check of t, at most one each checkTTL.
+// requestCheck queues a health check of t, at most one per checkTTL.
 func (c *Core) requestCheck(now ids.Time, t *target) {
 	path := c.routes.health[t.Service]
 	if path == "" || len(c.checks) == MaxChecks || (t.lastCheckAt != 0 && now.Sub(t.lastCheckAt) < checkTTL) {
@@ -96,8 +98,8 @@
 	c.checks = append(c.checks, k)
 }
 
-// reference returns the target other than t that has shown the latest sign of
-// life, if there is one.
+// referenceTarget returns the usable target other than t that has most recently
+// proved to be alive, or nil.
 func (c *Core) referenceTarget(t *target) *target {
 	var best *target
 	for _, o := range c.targets.slots {
@@ -108,13 +110,14 @@
 	return best
 }
 
-// retry sets the time at which the suspected t may get a flow again.
+// scheduleRetry sets the time from which the suspected target t may get a flow
+// again.
 func (t *target) scheduleRetry(now ids.Time) {
 	t.retryAt = now.Add(min(minRetryDelay<<min(t.retries, 8), maxRetryDelay))
 	t.retries++
 }
 
-// alive records a sign of life of t.
+// markAlive records that t has proved to be alive, which ends its suspicion.
 func (c *Core) markAlive(now ids.Time, t *target) {
 	c.lastAlive = now
 	t.lastAlive = now
@@ -126,24 +129,25 @@
 	}
 }
 
-// MaxChecks bounds the health checks that wait to be carried out.
+// MaxChecks bounds the number of queued health checks.
 const MaxChecks = 64
 
-// Check is a health check of a suspected target that the caller of the core
-// is to carry out.
+// Check is a health check of a suspected target. The program that uses the core
+// carries it out.
 type Check struct {
 	Target    string
 	StartedAt int64
 	Address   Endpoint
 	Path      string
-	// Reference is the address of a target that has answered lately. Without an
-	// answer of its own within the same time the check shows nothing about Target:
-	// this instance or its link is short of time. Its port is 0 when there is none.
+	// Reference is the address of a target that has answered recently; its port is
+	// 0 if there is none. If the reference does not answer within the same time
+	// either, the check proves nothing about Target: this instance or its link may
+	// be overloaded.
 	Reference     Endpoint
 	ReferencePath string
 }
 
-// Checks calls f with each health check that is due since the last call.
+// TakeChecks calls f with each queued health check and empties the queue.
 func (c *Core) TakeChecks(f func(Check)) {
 	for _, k := range c.checks {
 		f(k)
@@ -151,30 +155,31 @@
 	c.checks = c.checks[:0]
 }
 
-// checkTTL is the time for which a check that found a target out of reach
-// holds. A partition that refuses connections looks like a target that has
-// ended, so that the flows of a live target are spared soon after it is healed.
+// checkTTL is the time for which the result of a check that found a target
+// unreachable is valid. A network partition that refuses connections looks like a
+// target that has terminated. The short validity keeps flows of a live target from
+// being reset long after such a partition has healed.
 const checkTTL = time.Second
 
 // CheckResult is the outcome of a health check.
 type CheckResult uint8
 
-// Outcomes of a health check. What a target says of its health is not used:
-// it may be wrong either way, and what callers see counts more.
+// Outcomes of a health check. The health status that a target reports is not used:
+// it may be wrong either way, and the traffic of callers is better evidence.
 const (
-	CheckAnswered     CheckResult = iota // the target has answered, whatever it said
-	CheckUnreachable                     // refused, or without an answer in time, while the reference answered
-	CheckReplaced                        // another target has its address: it has ended
-	CheckInconclusive                    // neither the target nor the reference has answered
+	CheckAnswered     CheckResult = iota // the target has answered, with any status
+	CheckUnreachable                     // the connection was refused or timed out while the reference answered
+	CheckReplaced                        // another target has its address, so it has terminated
+	CheckInconclusive                    // neither the target nor the reference answered
 )
 
 var checkNames = [...]string{"answered", "unreachable", "replaced", "inconclusive"}
 
 func (r CheckResult) String() string { return checkNames[r] }
 
-// Checked records the outcome of a check that began at a time. A target counts
-// as out of reach only if others have shown signs of life meanwhile; without
-// these this instance itself may be cut off.
+// ReportCheck records the outcome of a health check that began at the given time. A
+// target counts as unreachable only if another target has proved to be alive since
+// then. Otherwise this instance itself may be cut off from the network.
 func (c *Core) ReportCheck(now ids.Time, k Check, began ids.Time, result CheckResult) {
 	t := c.targets.byName[k.Target]
 	if t == nil || t.StartedAt != k.StartedAt || t.lastAlive >= began {
