--- a/internal/passthrough/core.go
+++ b/internal/passthrough/core.go
@@ -7,143 +7,145 @@
 	"arbutusdock.example/arbutusdock/internal/ids"
 )
 
-// Settings of a Core.
+// Settings are the parameters of a Core.
 type Settings struct {
-	DataCentre ids.DataCentre    // own data centre
-	Regions    map[string]string // by data centre; one that is missing counts as near
-	MaxFlows   int               // flows remembered, FlowBytes each
-	FlowLife   time.Duration     // age after which a flow may be forgotten
-	Heartbeat  time.Duration     // interval at which targets renew their records
-	Seed       uint64            // of random choices
+	DataCentre        ids.DataCentre    // data centre of this instance
+	Regions           map[string]string // region of each data centre; a data centre without one counts as the same region
+	MaxFlows          int               // limit of the flow table, FlowBytes per entry
+	FlowLifetime      time.Duration     // time after which the state of a flow may be removed
+	HeartbeatInterval time.Duration     // interval at which targets refresh their records
+	Seed              uint64            // seed of the pseudo-random choices
 }
 
 // Core is the decision logic of one instance.
 type Core struct {
-	settings Settings
-	routes   routeTable
-	targets  targetTable
-	flows    flowTable
-	openings openings
-	random   uint64
-	events   []Event
-	checks   []Check
-	gone     []removal            // targets whose cookies are kept for their open flows
-	lengths  map[Endpoint]float64 // by route: smoothed number of requests of a flow
-
-	instances int // that share the callers of the data centre
-
-	lastLife  ids.Time // last sign of life of any target
-	learned   ids.Time // when all targets were known for the first time
-	outageEnd ids.Time // when the platform answered again after an outage
-	swept     ids.Time
+	settings        Settings
+	routes          routeTable
+	targets         targetTable
+	flows           flowTable
+	openings        openingQueue
+	rngState        uint64
+	events          []Event
+	checks          []Check
+	removals        []removal            // removed targets whose cookies are kept for their open flows
+	requestsPerFlow map[Endpoint]float64 // by route address: moving average of the requests per flow
+
+	instanceCount int // instances that share the callers of the data centre
+
+	lastAlive           ids.Time // when any target last proved that it is alive
+	listReceivedAt      ids.Time // when the first complete list of targets arrived
+	platformRecoveredAt ids.Time // when the platform last answered again after an outage
+	lastSweep           ids.Time
 }
 
-// removal is a target that was removed at a time.
+// removal records when a target was removed.
 type removal struct {
-	name string
-	born int64
-	at   ids.Time
+	name      string
+	startedAt int64
+	removedAt ids.Time
 }
 
-// New returns a core without configuration and targets.
+// New returns a core that has no configuration and no targets.
 func New(s Settings) *Core {
-	return &Core{settings: s, targets: newTargetTable(s.DataCentre, s.Regions), lengths: map[Endpoint]float64{}, instances: 1, flows: newFlowTable(max(s.MaxFlows, 1)), random: s.Seed}
+	return &Core{settings: s, targets: newTargetTable(s.DataCentre, s.Regions), requestsPerFlow: map[Endpoint]float64{}, instanceCount: 1, flows: newFlowTable(max(s.MaxFlows, 1)), rngState: s.Seed}
 }
 
-// Verdict is what is to be done with a packet.
+// Verdict is the action to take on a packet.
 type Verdict uint8
 
 // Verdicts.
 const (
 	Drop Verdict = iota
 	Forward
-	Reset // answer the caller with a reset
+	Reset // send a reset to the caller
 )
 
-// Reason is the input that decided.
+// Reason is the cause of a decision.
 type Reason uint8
 
 // Reasons.
 const (
-	Known             Reason = iota // the cookie names the target
-	Placed                          // a new flow
-	Replaced                        // a copy of an opening packet goes to another target
-	Repeated                        // a copy of an opening packet goes to the same target
-	NoConfig                        // no configuration yet
-	NoRoute                         // no route for this address
+	KnownCookie       Reason = iota // the cookie identifies the target
+	Placed                          // a new flow was placed on a target
+	Replaced                        // a copy of an opening packet is sent to another target
+	Repeated                        // a copy of an opening packet is sent to the same target
+	NoConfig                        // no configuration has been received yet
+	NoRoute                         // there is no route for this address
 	RouteDropped                    // the route of the open flow has been removed
 	NoTarget                        // the service has no target
-	UnknownCookie                   // the cookie names no known target
-	NoCookie                        // not an opening packet, and without a cookie
-	TargetGone                      // the target of the open flow has ended
-	TargetUnreachable               // the target of the open flow is out of reach
-	reasons
+	UnknownCookie                   // the cookie identifies no known target
+	NoCookie                        // the packet is not an opening packet and has no cookie
+	TargetGone                      // the target of the open flow has terminated
+	TargetUnreachable               // the target of the open flow is unreachable
+	reasonCount
 )
 
-// Reasons is the number of reasons.
-const Reasons = int(reasons)
+// NumReasons is the number of reasons.
+const NumReasons = int(reasonCount)
 
 var reasonNames = [...]string{"known", "placed", "replaced", "repeated", "no_config", "no_route", "route_dropped", "no_target", "unknown_cookie", "no_cookie", "target_gone", "target_unreachable"}
 
 func (r Reason) String() string { return reasonNames[r] }
 
-// Decision says what is to be done with a packet. The packet goes to Address,
-// addressed to Identity, with Cookie written into it if Reason is Placed,
-// Replaced or Repeated.
+// Decision tells what to do with a packet. A forwarded packet is sent to Address
+// with Identity as its destination. If Reason is Placed, Replaced or Repeated,
+// Cookie is written into the packet.
 type Decision struct {
-	Verdict  Verdict
-	Reason   Reason
-	Address  Endpoint
-	Identity uint64
-	Cookie   Cookie
-	Target   string      // name of the target, for logs
-	Service  ids.Service // for logs
-	Busy     int         // requests in progress at the target before a placement
-	Remote   bool        // the target is in another data centre
-	Adopted  bool        // the flow was not known here; it came from another instance
-
-	// Answered is the time from an opening packet to the caller's packet that
-	// follows the answer, Served that from a request to the acknowledgement of
-	// the first answered byte. Both are 0 for other packets.
-	Answered, Served time.Duration
-	// Stalled is the time since a request whose data the caller repeats; 0 for
+	Verdict        Verdict
+	Reason         Reason
+	Address        Endpoint
+	Identity       uint64
+	Cookie         Cookie
+	Target         string      // name of the target, for logs
+	Service        ids.Service // for logs
+	ActiveRequests int         // active requests of this instance at the target before this decision
+	Remote         bool        // the target is in another data centre
+	Adopted        bool        // the flow had no entry in the flow table: another instance forwarded its earlier packets
+
+	// HandshakeTime is the time from the opening packet to the caller's first
+	// packet after the target's answer. ResponseTime is the time from a request to
+	// the caller's acknowledgement of the first response byte. Both are 0 for
 	// other packets.
-	Stalled time.Duration
+	HandshakeTime, ResponseTime time.Duration
+	// StalledFor is the time since the request whose data the caller retransmits
+	// with this packet; 0 for other packets.
+	StalledFor time.Duration
 }
 
-// Packet decides about one packet of a caller.
-func (c *Core) Packet(now ids.Time, p *Packet) Decision {
-	c.checkOpenings(now)
-	if p.opening() {
-		return c.open(now, p)
+// HandlePacket returns the decision on one packet of a caller.
+func (c *Core) HandlePacket(now ids.Time, p *Packet) Decision {
+	c.expireOpenings(now)
+	if p.isOpening() {
+		return c.placeFlow(now, p)
 	}
 	if p.Cookie == 0 {
 		return Decision{Reason: NoCookie}
 	}
 	if c.routes.routes != nil {
 		if _, ok := c.routes.routes[p.Flow.Service]; !ok {
-			return c.dropped(p)
+			return c.resetRemovedRoute(p)
 		}
 	}
 	t := c.targets.byCookie[p.Cookie]
 	if t == nil {
 		return Decision{Reason: UnknownCookie}
 	}
-	if reason, ok := t.unanswerable(now, p); ok {
+	if reason, ok := t.resetReason(now, p); ok {
 		if f := c.flows.get(p.Flow); f != nil {
-			c.release(f)
+			c.removeFlow(f)
 		}
 		return Decision{Verdict: Reset, Reason: reason, Target: t.Name, Service: t.Service}
 	}
-	d := c.forward(t, Known)
-	c.observe(now, p, t, &d)
+	d := c.forwardTo(t, KnownCookie)
+	c.observePacket(now, p, t, &d)
 	return d
 }
 
-// dropped ends an open flow whose route has been removed.
-func (c *Core) dropped(p *Packet) Decision {
+// resetRemovedRoute resets an open flow whose route has been removed. A reset of
+// the caller is not answered with a reset.
+func (c *Core) resetRemovedRoute(p *Packet) Decision {
 	if f := c.flows.get(p.Flow); f != nil {
-		c.release(f)
+		c.removeFlow(f)
 	}
 	if p.Flags.Has(RST) {
 		return Decision{Reason: RouteDropped}
@@ -151,15 +153,15 @@
 	return Decision{Verdict: Reset, Reason: RouteDropped}
 }
 
-func (c *Core) forward(t *target, reason Reason) Decision {
+func (c *Core) forwardTo(t *target, reason Reason) Decision {
 	return Decision{
 		Verdict: Forward, Reason: reason, Address: t.Address, Identity: t.Identity, Cookie: t.cookie,
-		Target: t.Name, Service: t.Service, Busy: t.busy, Remote: t.DataCentre != c.settings.DataCentre,
+		Target: t.Name, Service: t.Service, ActiveRequests: t.activeRequests, Remote: t.DataCentre != c.settings.DataCentre,
 	}
 }
 
-// open decides about an opening packet or a copy of one.
-func (c *Core) open(now ids.Time, p *Packet) Decision {
+// placeFlow returns the decision on an opening packet or a copy of one.
+func (c *Core) placeFlow(now ids.Time, p *Packet) Decision {
 	if c.routes.routes == nil {
 		return Decision{Reason: NoConfig}
 	}
@@ -172,166 +174,169 @@
 	var avoid *target
 	if f != nil {
 		t := c.target(f)
-		if t != nil && t.usable() && f.state == flowOpening && now.Sub(f.forwarded) < answerTime {
-			// The answer may still be on its way: another target would give the
-			// caller two answers for one flow.
-			return c.forward(t, Repeated)
+		if t != nil && t.usable() && f.state == flowOpening && now.Sub(f.forwardedAt) < openingTimeout {
+			// The answer may still be in transit. With a second target the caller
+			// would get two answers for one flow.
+			return c.forwardTo(t, Repeated)
 		}
 		if t != nil && f.state == flowOpening {
 			avoid = t
-			c.failed(now, t, f.forwarded, "opening repeated")
+			c.recordFailure(now, t, f.forwardedAt, "opening repeated")
 			reason = Replaced
 		}
-		c.release(f)
+		c.removeFlow(f)
 	}
-	t := c.choose(now, route.service(p.Flow), avoid, c.long(p.Flow.Service))
+	t := c.choose(now, route.service(p.Flow), avoid, c.hasLongFlows(p.Flow.Service))
 	if t == nil {
-		return c.noTarget(now, route.service(p.Flow))
+		return c.noTargetDecision(now, route.service(p.Flow))
 	}
-	if t.trust.State() == chart.Suspected {
-		t.retry(now) // one flow at a time tries a suspected target
+	if t.suspicion.State() == chart.Suspected {
+		t.scheduleRetry(now) // only one flow at a time is placed on a suspected target
 	}
-	d := c.forward(t, reason)
+	d := c.forwardTo(t, reason)
 	f, evicted := c.flows.add(p.Flow)
-	c.uncount(&evicted)
-	f.state, f.target, f.run = flowOpening, t.index, t.run
-	f.lastSeen, f.forwarded = now, now
+	c.subtractLoad(&evicted)
+	f.state, f.target, f.generation = flowOpening, t.index, t.generation
+	f.lastSeen, f.forwardedAt = now, now
 	f.nextSeq = p.Seq + 1
 	t.flows++
-	c.openings.push(opening{flow: p.Flow, sent: now})
+	c.openings.push(pendingOpening{flow: p.Flow, sent: now})
 	return d
 }
 
-// noTarget tells the caller at once that its flow cannot be served, unless the
-// records of live targets may have lapsed: then one may be there for the next copy
-// of the opening packet.
-func (c *Core) noTarget(now ids.Time, service ids.Service) Decision {
+// noTargetDecision resets a new flow whose service has no target. Within
+// recordGracePeriod after the first list of targets or after an outage of the
+// platform it drops the packet instead: the records of live targets may have
+// expired, and one may be back for the next copy of the opening packet.
+func (c *Core) noTargetDecision(now ids.Time, service ids.Service) Decision {
 	d := Decision{Reason: NoTarget, Service: service}
-	if c.learned != 0 && now.Sub(max(c.learned, c.outageEnd)) >= lapseGrace {
+	if c.listReceivedAt != 0 && now.Sub(max(c.listReceivedAt, c.platformRecoveredAt)) >= recordGracePeriod {
 		d.Verdict = Reset
 	}
 	return d
 }
 
-// observe learns from a packet of an open flow and adds what it found to d.
-func (c *Core) observe(now ids.Time, p *Packet, t *target, d *Decision) {
+// observePacket updates the state of a flow and its target t from a packet of an
+// open flow, and fills in the measurements in d.
+func (c *Core) observePacket(now ids.Time, p *Packet, t *target, d *Decision) {
 	f := c.flows.get(p.Flow)
 	if f == nil {
 		if p.Length == 0 || p.Flags.Has(FIN) || p.Flags.Has(RST) {
 			return
 		}
-		// The flow came from another instance.
+		// Another instance forwarded the earlier packets of this flow.
 		var evicted flow
 		f, evicted = c.flows.add(p.Flow)
-		c.uncount(&evicted)
-		f.state, f.target, f.run, f.nextSeq, f.ack = flowOpen, t.index, t.run, p.Seq, p.Ack
+		c.subtractLoad(&evicted)
+		f.state, f.target, f.generation, f.nextSeq, f.ack = flowOpen, t.index, t.generation, p.Seq, p.Ack
 		t.flows++
 		d.Adopted = true
 	}
 	f.lastSeen = now
 	if c.target(f) != t {
-		c.move(f, t)
+		c.reassignFlow(f, t)
 	}
 	if f.state == flowOpening {
 		f.state, f.ack = flowOpen, p.Ack
-		d.Answered = now.Sub(f.forwarded)
-		c.alive(now, t)
+		d.HandshakeTime = now.Sub(f.forwardedAt)
+		c.markAlive(now, t)
 	}
 	if progress := int32(p.Ack - f.ack); progress > 0 && !p.Flags.Has(RST) {
 		f.ack = p.Ack
-		if f.busy {
-			d.Served = now.Sub(f.requested)
+		if f.requestActive {
+			d.ResponseTime = now.Sub(f.requestedAt)
 		}
-		c.alive(now, t)
-		c.finish(f, t)
+		c.markAlive(now, t)
+		c.finishRequest(f, t)
 	}
 	if p.Flags.Has(RST) || p.Flags.Has(FIN) {
-		c.release(f)
+		c.removeFlow(f)
 		return
 	}
 	if p.Length > 0 {
-		c.data(now, p, f, t, d)
+		c.observeData(now, p, f, t, d)
 	}
 }
 
-// data learns from a packet with request data.
-func (c *Core) data(now ids.Time, p *Packet, f *flow, t *target, d *Decision) {
+// observeData updates the state of f and t from a packet with request data.
+func (c *Core) observeData(now ids.Time, p *Packet, f *flow, t *target, d *Decision) {
 	end := p.Seq + uint32(p.Length)
 	if int32(end-f.nextSeq) > 0 {
 		f.nextSeq = end
-		if !f.busy {
-			f.busy, f.requested = true, now
+		if !f.requestActive {
+			f.requestActive, f.requestedAt = true, now
 			f.requests++
-			t.addBusy(1)
+			t.addActiveRequests(1)
 		}
 		return
 	}
-	if !f.busy || now.Sub(f.requested) < repeatTime {
-		return // its packets came out of order
+	if !f.requestActive || now.Sub(f.requestedAt) < minRetransmitTime {
+		return // the packets of the request arrived out of order
 	}
-	d.Stalled = now.Sub(f.requested)
-	if t.repeats++; t.repeats >= 2 {
-		c.failed(now, t, f.requested, "data repeated")
+	d.StalledFor = now.Sub(f.requestedAt)
+	if t.retransmits++; t.retransmits >= 2 {
+		c.recordFailure(now, t, f.requestedAt, "data repeated")
 	}
 }
 
-// repeatTime is the least time after which a caller repeats its data; its first
-// repetition comes after 200 ms.
-const repeatTime = 150 * time.Millisecond
+// minRetransmitTime is the age of a request from which old data counts as a
+// retransmission instead of reordering. Callers first retransmit after 200 ms.
+const minRetransmitTime = 150 * time.Millisecond
 
-// move counts f for another target than before.
-func (c *Core) move(f *flow, t *target) {
-	c.uncount(f)
-	f.target, f.run, f.busy = t.index, t.run, false
+// reassignFlow moves the load of f from its former target to t.
+func (c *Core) reassignFlow(f *flow, t *target) {
+	c.subtractLoad(f)
+	f.target, f.generation, f.requestActive = t.index, t.generation, false
 	t.flows++
 }
 
-// finish ends the request in progress on f.
-func (c *Core) finish(f *flow, t *target) {
-	if f.busy {
-		f.busy = false
-		t.addBusy(-1)
+// finishRequest ends the active request of f.
+func (c *Core) finishRequest(f *flow, t *target) {
+	if f.requestActive {
+		f.requestActive = false
+		t.addActiveRequests(-1)
 	}
 }
 
-// uncount takes f off the load of its target.
-func (c *Core) uncount(f *flow) {
+// subtractLoad removes f from the load of its target.
+func (c *Core) subtractLoad(f *flow) {
 	if f.state == flowFree {
 		return
 	}
 	if t := c.target(f); t != nil {
-		c.finish(f, t)
+		c.finishRequest(f, t)
 		t.flows--
 	}
 }
 
-// target returns the target of f, nil if it was forgotten.
-func (c *Core) target(f *flow) *target { return c.targets.at(f.target, f.run) }
+// target returns the target of f, or nil if its state has been deleted.
+func (c *Core) target(f *flow) *target { return c.targets.byIndex(f.target, f.generation) }
 
-// lengthWeight is the weight of one flow in the smoothed number of requests of
-// the flows of a route, and longFlow the number above which its flows count as
-// long.
+// requestsPerFlowWeight is the weight of one flow in the moving average of the
+// requests per flow of a route. Above longFlowRequests the flows of a route count
+// as long.
 const (
-	lengthWeight = 0.05
-	longFlow     = 1.5
+	requestsPerFlowWeight = 0.05
+	longFlowRequests      = 1.5
 )
 
-// long reports whether flows to an address usually carry several requests. A
-// route that is not known yet counts as long.
-func (c *Core) long(to Endpoint) bool {
-	length, known := c.lengths[to]
-	return !known || length > longFlow
+// hasLongFlows reports whether flows to an address usually carry several
+// requests. It returns true for an address without data.
+func (c *Core) hasLongFlows(to Endpoint) bool {
+	length, known := c.requestsPerFlow[to]
+	return !known || length > longFlowRequests
 }
 
-// release forgets f.
-func (c *Core) release(f *flow) {
+// removeFlow removes f from the flow table and from the load of its target, and
+// adds it to the average number of requests per flow.
+func (c *Core) removeFlow(f *flow) {
 	if f.requests > 0 {
-		length, known := c.lengths[f.key.Service]
+		length, known := c.requestsPerFlow[f.key.Service]
 		if !known {
 			length = float64(f.requests)
 		}
-		c.lengths[f.key.Service] = length + lengthWeight*(float64(f.requests)-length)
+		c.requestsPerFlow[f.key.Service] = length + requestsPerFlowWeight*(float64(f.requests)-length)
 	}
-	c.uncount(f)
+	c.subtractLoad(f)
 	c.flows.remove(f)
 }
