--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -31,15 +31,15 @@
 	assert.Equal(t, v, Valid)
 	assert.Equal(t, got, want)
 	_, v = k.Parse(b[:], "slip")
-	assert.Equal(t, v, Foreign)
+	assert.Equal(t, v, NotIssued)
 	for i := 1; i < TokenSize; i++ {
 		b[i] ^= 1
 		_, v = k.Parse(b[:], "counter")
-		assert.Equal(t, v, Foreign, "byte %d", i)
+		assert.Equal(t, v, NotIssued, "byte %d", i)
 		b[i] ^= 1
 	}
 	_, v = k.Parse(b[:39], "counter")
-	assert.Equal(t, v, Foreign)
+	assert.Equal(t, v, NotIssued)
 	_, v = keyring(t, 2).Parse(b[:], "counter")
 	assert.Equal(t, v, UnknownKey)
 }
@@ -87,7 +87,7 @@
 		_, d := old.Admit(now, token(n, now), uint64(n))
 		assert.Equal(t, d, Admit)
 	}
-	big := make([]byte, PartBytes)
+	big := make([]byte, MaxPartBytes)
 	old.Finish(ID{7, Nonce{0}}, Answered, big, 0)
 	old.Finish(ID{7, Nonce{1}}, Answered, big, 0)
 	old.Finish(ID{7, Nonce{2}}, Refused, nil, 5)
@@ -98,12 +98,12 @@
 	parts := old.Export(now + second)
 	assert.Equal(t, len(parts), 3)
 	for i, p := range parts {
-		assert.Assert(t, !next.Answers(7))
+		assert.Assert(t, !next.AuthoritativeFor(7))
 		done, err := next.Import(now+second-ids.Time(time.Hour), p)
 		assert.NilError(t, err)
 		assert.Equal(t, done, i == 2)
 	}
-	assert.Assert(t, next.Answers(7))
+	assert.Assert(t, next.AuthoritativeFor(7))
 	later := now - ids.Time(time.Hour) + 2*second // the successor's clock is an hour behind
 	for n, want := range []State{Answered, Answered, Refused, Unknown} {
 		e, d := next.Admit(later, token(byte(n), now), uint64(n))
@@ -114,10 +114,10 @@
 	assert.Equal(t, d, NotRun)
 	parts[0].Entries[0].Nonce = nil
 	_, err := NewTable(9).Import(now, parts[0])
-	assert.ErrorIs(t, err, ErrEntry)
+	assert.ErrorIs(t, err, ErrMalformedEntry)
 	parts[1].Clocks = nil
 	_, err = NewTable(9).Import(now, parts[1])
-	assert.ErrorIs(t, err, ErrEntry)
+	assert.ErrorIs(t, err, ErrMalformedEntry)
 }
 
 // Guards against a wrong "not run" after two handovers between instances whose
@@ -143,7 +143,7 @@
 // Guards against responses that exceed the memory bound.
 func TestResponsesAreBounded(t *testing.T) {
 	tab := NewTable(7)
-	big := make([]byte, MaxBytes/2+1)
+	big := make([]byte, DefaultMaxBytes/2+1)
 	for n := range byte(2) {
 		tab.Admit(second, token(n, second), 1)
 		tab.Finish(ID{7, Nonce{n}}, Answered, big, 0)
@@ -157,8 +157,8 @@
 	b := RetryBudget{Ratio: 0.1}
 	taken := 0
 	for range 1000 {
-		b.Attempt()
-		if b.Take() {
+		b.Deposit()
+		if b.TryWithdraw() {
 			taken++
 		}
 	}
@@ -167,13 +167,13 @@
 
 // Guards against queueing what cannot be served in time.
 func TestLimiter(t *testing.T) {
-	l := Limiter{QueueTime: time.Second, Deadline: 2 * time.Second, Length: 100}
-	assert.Assert(t, l.Fits(9, 100*time.Millisecond, 1))
-	assert.Assert(t, !l.Fits(11, 100*time.Millisecond, 1))
-	assert.Assert(t, l.Fits(11, 100*time.Millisecond, 2))
-	assert.Assert(t, !l.Fits(0, 3*time.Second, 1))
-	assert.Assert(t, !l.Fits(100, time.Millisecond, 4))
-	assert.Assert(t, !l.Fits(0, time.Millisecond, 0))
+	l := Limiter{MaxQueueTime: time.Second, Deadline: 2 * time.Second, MaxLength: 100}
+	assert.Assert(t, l.CanQueue(9, 100*time.Millisecond, 1))
+	assert.Assert(t, !l.CanQueue(11, 100*time.Millisecond, 1))
+	assert.Assert(t, l.CanQueue(11, 100*time.Millisecond, 2))
+	assert.Assert(t, !l.CanQueue(0, 3*time.Second, 1))
+	assert.Assert(t, !l.CanQueue(100, time.Millisecond, 4))
+	assert.Assert(t, !l.CanQueue(0, time.Millisecond, 0))
 }
 
 func BenchmarkMint(b *testing.B) {
@@ -209,9 +209,9 @@
 		}
 		return n
 	}
-	assert.Equal(t, admitted(NewTable(7)), MaxEntries)
+	assert.Equal(t, admitted(NewTable(7)), DefaultMaxEntries)
 	tab := NewTable(7)
-	tab.SetLimits(Limits{Entries: rate * seconds, Bytes: MaxBytes})
+	tab.SetLimits(Limits{Entries: rate * seconds, Bytes: DefaultMaxBytes})
 	assert.Equal(t, admitted(tab), rate*seconds)
-	assert.Assert(t, tab.Crowded())
+	assert.Assert(t, tab.MintingSuspended())
 }
--- a/internal/admission/handover.go
+++ b/internal/admission/handover.go
@@ -10,16 +10,16 @@
 	"github.com/rotisserie/eris"
 )
 
-// PartBytes bounds the responses in one part of a handover.
-const PartBytes = 32 << 10
+// MaxPartBytes bounds the responses in one part of a handover.
+const MaxPartBytes = 32 << 10
 
 // entryBytes is the approximate size of an entry without its response.
 const entryBytes = 40
 
 // Errors of Import.
 var (
-	ErrEmptyMove = eris.New("import admissions: no incarnation given")
-	ErrEntry     = eris.New("import admissions: malformed entry")
+	ErrNoIncarnation  = eris.New("import admissions: no incarnation given")
+	ErrMalformedEntry = eris.New("import admissions: malformed entry")
 )
 
 // Export returns the table as handover parts. The table must be closed.
@@ -38,24 +38,24 @@
 	size := 0
 	for i := range t.length {
 		e := t.at(i)
-		if e.ID.Incarnation != t.self && !t.Answers(e.ID.Incarnation) {
+		if e.ID.Incarnation != t.self && !t.AuthoritativeFor(e.ID.Incarnation) {
 			continue
 		}
 		a := export(now, e)
-		if size += entryBytes + len(a.Response); size > PartBytes && len(part.Entries) > 0 {
+		if size += entryBytes + len(a.Response); size > MaxPartBytes && len(part.Entries) > 0 {
 			part = &peerwire.AdmissionMove{Incarnations: incarnations, Clocks: clocks, Part: part.Part + 1}
 			parts, size = append(parts, part), entryBytes+len(a.Response)
 		}
 		part.Entries = append(part.Entries, a)
 	}
 	part.Last = true
-	t.Stamp(now, part)
+	t.StampClocks(now, part)
 	return parts
 }
 
-// Stamp sets the clocks of the incarnations of p, and of all parts exported
+// StampClocks sets the clocks of the incarnations of p, and of all parts exported
 // with it, to now. It is called each time that the parts are sent.
-func (t *Table) Stamp(now ids.Time, p *peerwire.AdmissionMove) {
+func (t *Table) StampClocks(now ids.Time, p *peerwire.AdmissionMove) {
 	for k, i := range p.Incarnations {
 		p.Clocks[k] = now
 		if i != t.self {
@@ -91,16 +91,16 @@
 // the request has not run.
 func (t *Table) Import(now ids.Time, p *peerwire.AdmissionMove) (bool, error) {
 	if len(p.Incarnations) == 0 {
-		return false, ErrEmptyMove
+		return false, ErrNoIncarnation
 	}
 	if len(p.Clocks) != len(p.Incarnations) {
-		return false, ErrEntry
+		return false, ErrMalformedEntry
 	}
 	for i := range p.Entries {
 		a := &p.Entries[i]
 		if len(a.Nonce) != nonceSize || !slices.Contains(p.Incarnations, a.Incarnation) ||
 			State(a.State) > Unknown || State(a.State) == Running || State(a.State) == Refused && len(a.Response) != 4 {
-			return false, ErrEntry
+			return false, ErrMalformedEntry
 		}
 	}
 	m := t.moved[p.Incarnations[0]]
--- a/internal/admission/limit.go
+++ b/internal/admission/limit.go
@@ -4,25 +4,25 @@
 
 // Limiter bounds the queue of one service at one owner.
 type Limiter struct {
-	QueueTime time.Duration // longest wait for a slot
-	Deadline  time.Duration // from arrival to response
-	Length    int           // longest queue
+	MaxQueueTime time.Duration // longest wait for a slot
+	Deadline     time.Duration // from arrival to response
+	MaxLength    int           // longest queue
 }
 
-// Fits reports whether a request may be queued behind backlog others that
+// CanQueue reports whether a request may be queued behind backlog others that
 // share slots. run is the mean run time. slots may be a fraction: a partner's
 // part of the owned slots.
-func (l *Limiter) Fits(backlog int, run time.Duration, slots float64) bool {
-	if backlog >= l.Length || slots <= 0 {
+func (l *Limiter) CanQueue(backlog int, run time.Duration, slots float64) bool {
+	if backlog >= l.MaxLength || slots <= 0 {
 		return false
 	}
-	wait := Wait(backlog, run, slots)
-	return wait <= l.QueueTime && wait+run <= l.Deadline
+	wait := ExpectedWait(backlog, run, slots)
+	return wait <= l.MaxQueueTime && wait+run <= l.Deadline
 }
 
-// Wait returns the expected time until a request behind backlog others gets one
+// ExpectedWait returns the expected time until a request behind backlog others gets one
 // of slots.
-func Wait(backlog int, run time.Duration, slots float64) time.Duration {
+func ExpectedWait(backlog int, run time.Duration, slots float64) time.Duration {
 	return time.Duration(float64(backlog) * float64(run) / slots)
 }
 
@@ -36,11 +36,11 @@
 	tokens float64
 }
 
-// Attempt counts a first attempt.
-func (b *RetryBudget) Attempt() { b.tokens = min(b.tokens+b.Ratio, maxRetryTokens) }
+// Deposit counts a first attempt.
+func (b *RetryBudget) Deposit() { b.tokens = min(b.tokens+b.Ratio, maxRetryTokens) }
 
-// Take takes one retry from the budget.
-func (b *RetryBudget) Take() bool {
+// TryWithdraw takes one retry from the budget.
+func (b *RetryBudget) TryWithdraw() bool {
 	if b.tokens < 1 {
 		return false
 	}
--- a/internal/admission/table.go
+++ b/internal/admission/table.go
@@ -7,23 +7,23 @@
 )
 
 const (
-	// FreshFor is the age up to which a token admits a request.
-	FreshFor = 10 * time.Second
-	// KnownFor is the age up to which the absence of an entry proves that
+	// TokenLifetime is the age up to which a token admits a request.
+	TokenLifetime = 10 * time.Second
+	// NotRunWindow is the age up to which the absence of an entry proves that
 	// nothing has run under a token.
-	KnownFor = 240 * time.Second
-	// KeepFor is the time from admission to eviction. It exceeds
-	// EXCHANGE_LIFETIME (247 s, RFC 7252 section 4.8.2) and KnownFor plus the
+	NotRunWindow = 240 * time.Second
+	// EntryLifetime is the time from admission to eviction. It exceeds
+	// EXCHANGE_LIFETIME (247 s, RFC 7252 section 4.8.2) and NotRunWindow plus the
 	// greatest clock error.
-	KeepFor = 300 * time.Second
-	// MaxSkew is the greatest clock error of an issuer. A token from further
+	EntryLifetime = 300 * time.Second
+	// MaxClockSkew is the greatest clock error of an issuer. A token from further
 	// in the future could outlive its entry.
-	MaxSkew = 30 * time.Second
+	MaxClockSkew = 30 * time.Second
 
-	// MaxEntries and MaxBytes are the default Limits: 300 s of 218 admissions a
+	// DefaultMaxEntries and DefaultMaxBytes are the default Limits: 300 s of 218 admissions a
 	// second, three times the new flows per node of the target size.
-	MaxEntries = 1 << 16
-	MaxBytes   = 24 << 20
+	DefaultMaxEntries = 1 << 16
+	DefaultMaxBytes   = 24 << 20
 )
 
 // Limits bound the memory of a table. An instance that admits n requests a
@@ -34,7 +34,7 @@
 }
 
 // DefaultLimits suit the target size of docs/design.md.
-var DefaultLimits = Limits{MaxEntries, MaxBytes}
+var DefaultLimits = Limits{DefaultMaxEntries, DefaultMaxBytes}
 
 // State is the state of an admitted request.
 type State uint8
@@ -88,7 +88,7 @@
 //
 // Invariants: an ID is returned with Admit at most once; it is entered before
 // Admit returns; while an ID is not entered and its token is younger than
-// KnownFor, nothing has run under it.
+// NotRunWindow, nothing has run under it.
 type Table struct {
 	self    ids.Incarnation
 	limits  Limits
@@ -116,12 +116,12 @@
 // Close ends admission for good.
 func (t *Table) Close() { t.closed = true }
 
-// Crowded reports whether no further tokens that name this table should be
+// MintingSuspended reports whether no further tokens that name this table should be
 // minted: the rest is kept for the tokens that have been.
-func (t *Table) Crowded() bool { return t.closed || t.length > t.limits.Entries/10*9 }
+func (t *Table) MintingSuspended() bool { return t.closed || t.length > t.limits.Entries/10*9 }
 
-// Answers reports whether this table decides for incarnation i.
-func (t *Table) Answers(i ids.Incarnation) bool {
+// AuthoritativeFor reports whether this table decides for incarnation i.
+func (t *Table) AuthoritativeFor(i ids.Incarnation) bool {
 	if i == t.self {
 		return true
 	}
@@ -146,9 +146,9 @@
 	}
 	age := clock.Sub(ids.Time(tok.IssuedMS) * ids.Time(time.Millisecond))
 	switch {
-	case age < -MaxSkew || age > KnownFor:
+	case age < -MaxClockSkew || age > NotRunWindow:
 		return nil, OutcomeUnknown
-	case age > FreshFor || !open:
+	case age > TokenLifetime || !open:
 		return nil, NotRun
 	case t.length >= t.limits.Entries:
 		// "Not run" would be wrong if the same datagram came again after an
@@ -202,12 +202,12 @@
 	return n
 }
 
-// Evict removes the entries older than KeepFor, at most max of them. Entries
+// Evict removes the entries older than EntryLifetime, at most max of them. Entries
 // are examined in order of entry, so one that was handed over may stay longer.
 func (t *Table) Evict(now ids.Time, max int) {
 	for ; max > 0 && t.length > 0; max-- {
 		e := t.at(0)
-		if now.Sub(e.Admitted) <= KeepFor {
+		if now.Sub(e.Admitted) <= EntryLifetime {
 			return
 		}
 		t.head = (t.head + 1) % len(t.order)
--- a/internal/admission/token.go
+++ b/internal/admission/token.go
@@ -42,7 +42,7 @@
 // Verdicts of Keyring.Parse.
 const (
 	Valid      Verdict = iota
-	Foreign            // not issued by this system: nothing has run under it
+	NotIssued          // not issued by this system: nothing has run under it
 	UnknownKey         // the key may have been retired: nothing is known
 )
 
@@ -86,14 +86,14 @@
 // Parse checks the Echo option value echo of a request to service.
 func (k *Keyring) Parse(echo []byte, service ids.Service) (Token, Verdict) {
 	if len(echo) != TokenSize {
-		return Token{}, Foreign
+		return Token{}, NotIssued
 	}
 	if k.keys[echo[0]] == nil {
 		return Token{}, UnknownKey
 	}
 	copy(k.body[:], echo)
 	if !hmac.Equal(k.mac(echo[0], service), echo[bodySize:]) {
-		return Token{}, Foreign
+		return Token{}, NotIssued
 	}
 	t := Token{KeyID: echo[0], Incarnation: ids.Incarnation(binary.BigEndian.Uint64(echo[1:9]))}
 	var ms [8]byte
--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -26,7 +26,7 @@
 // steers the load, as the request itself cannot be moved later.
 func (c *Core) mint(a *arrival) {
 	s := a.svc
-	here := c.accepting() && !c.admissions.Crowded()
+	here := c.accepting() && !c.admissions.MintingSuspended()
 	class, free := c.freeHere(s, a)
 	if here && free {
 		c.grant(a, c.self.ID, c.self.Incarnation)
@@ -139,9 +139,9 @@
 func (c *Core) retryAfter(s *service) uint32 {
 	rate := returnRate
 	if s.owned() > 0 {
-		rate = s.pool.Rate()
+		rate = s.pool.ServiceRate()
 	}
-	return s.returns.Seconds(c.now, rate, c.rng)
+	return s.returns.RetryAfter(c.now, rate, c.rng)
 }
 
 // unknown responds that the outcome is unknown.
@@ -189,10 +189,10 @@
 		// Long requests wait until their deadline: some delay is acceptable
 		// for them, and the short ones pass by in their own queue.
 		profile := &s.config.Profile.Spread
-		l.QueueTime = l.Deadline
+		l.MaxQueueTime = l.Deadline
 		run = time.Duration(float64(run) * max(1, profile.LongFactor))
 		slots = max(1, slots*profile.LongShare)
 	}
-	l.Length = max(1, int(float64(l.Length)*part))
-	return l.Fits(own.queued[class], run, slots*part)
+	l.MaxLength = max(1, int(float64(l.MaxLength)*part))
+	return l.CanQueue(own.queued[class], run, slots*part)
 }
--- a/internal/core/backend.go
+++ b/internal/core/backend.go
@@ -166,7 +166,7 @@
 func (c *Core) retryable(r *request) bool {
 	s := r.svc
 	return !s.removed && s.owned() > 0 && r.attempts < maxAttempts &&
-		c.now.Add(s.pool.RunTime()) < r.deadline && s.budget.Take()
+		c.now.Add(s.pool.RunTime()) < r.deadline && s.budget.TryWithdraw()
 }
 
 // failed handles a request whose backend server failed. It may have run, so
@@ -235,7 +235,7 @@
 	case r.idempotent && !r.isAdmitted && !r.upAcked && r.resent < maxResends && c.now >= r.resendAt:
 		r.resent++
 		r.resendAt = c.now.Add(resendAfter << r.resent)
-		if r.svc.budget.Take() {
+		if r.svc.budget.TryWithdraw() {
 			c.counts.Resends++
 			c.transmit(r)
 		}
@@ -251,7 +251,7 @@
 		run = s.pool.RunTime()
 	}
 	return c.now.Add(run) >= r.deadline ||
-		r.class == spread.Short && c.now.Sub(r.arrived) > s.limiter.QueueTime && r.attempts == 0
+		r.class == spread.Short && c.now.Sub(r.arrived) > s.limiter.MaxQueueTime && r.attempts == 0
 }
 
 // rejectQueued rejects a request that was taken out of its queue.
--- a/internal/core/caller.go
+++ b/internal/core/caller.go
@@ -230,7 +230,7 @@
 			return
 		}
 		c.mint(a)
-	case !idempotent && known && c.accepting() && !c.admissions.Crowded():
+	case !idempotent && known && c.accepting() && !c.admissions.MintingSuspended():
 		c.grant(a, c.self.ID, c.self.Incarnation)
 	case !idempotent:
 		c.mint(a)
@@ -255,11 +255,11 @@
 func (c *Core) withToken(a *arrival) {
 	token, verdict := c.keys.Parse(a.m.Echo, a.svc.name)
 	switch {
-	case verdict == admission.Foreign:
+	case verdict == admission.NotIssued:
 		c.mint(a)
 	case verdict == admission.UnknownKey:
 		c.unknown(&a.exchange)
-	case c.admissions.Answers(token.Incarnation):
+	case c.admissions.AuthoritativeFor(token.Incarnation):
 		c.admit(a, token)
 	default:
 		m, ok := c.view.Lookup(token.Incarnation)
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -115,7 +115,7 @@
 // that target is busy r waits for it: it has had its turn in the fair queue.
 func (c *Core) acquire(r *request) (lease spread.Lease, ok, waits bool) {
 	s := r.svc
-	if r.pin != "" && (s.pool.Leaving(r.pin) || len(s.pinned) >= s.limiter.Length) {
+	if r.pin != "" && (s.pool.OutOfService(r.pin) || len(s.pinned) >= s.limiter.MaxLength) {
 		r.pin = ""
 	}
 	if r.pin != "" {
@@ -136,9 +136,9 @@
 // Another target must produce the content again, which takes about a run time.
 func (s *service) pinWait(r *request) time.Duration {
 	if s.pool.Classify(r.content) == spread.Long {
-		return s.limiter.QueueTime
+		return s.limiter.MaxQueueTime
 	}
-	return min(s.limiter.QueueTime, pinRunTimes*s.pool.RunTime())
+	return min(s.limiter.MaxQueueTime, pinRunTimes*s.pool.RunTime())
 }
 
 // dispatchPinned sends the follow-up blocks whose target has become free, and
@@ -153,7 +153,7 @@
 		switch lease, ok := s.pool.AcquireTarget(c.now, r.pin); {
 		case ok:
 			c.sendUpstream(r, lease)
-		case s.pool.Leaving(r.pin) || c.now.Sub(r.arrived) > s.pinWait(r):
+		case s.pool.OutOfService(r.pin) || c.now.Sub(r.arrived) > s.pinWait(r):
 			r.pin = ""
 			c.startOrQueue(r)
 		default:
@@ -181,7 +181,7 @@
 	r.up, r.upID = c.newUpstream(upstream{request: r})
 	r.upAcked, r.resent, r.resendAt = false, 0, c.now.Add(resendAfter)
 	if r.attempts == 0 {
-		s.budget.Attempt()
+		s.budget.Deposit()
 	}
 	r.attempts++
 	if r.class == spread.Long {
--- a/internal/core/feedmove.go
+++ b/internal/core/feedmove.go
@@ -38,7 +38,7 @@
 	if f.Quiet(c.now) && c.now >= f.Retry {
 		c.replace(f, f.Silent > 0)
 		f.Silent++
-	} else if pool := c.table.Pool(f.Service); pool != nil && pool.Leaving(f.Active.Target) {
+	} else if pool := c.table.Pool(f.Service); pool != nil && pool.OutOfService(f.Active.Target) {
 		c.replace(f, true)
 	}
 	c.checkHome(f, s)
--- a/internal/core/long.go
+++ b/internal/core/long.go
@@ -20,7 +20,7 @@
 	if class == spread.Short {
 		return true
 	}
-	overdue := s.longWaits != 0 && c.now.Sub(s.longWaits) >= s.limiter.QueueTime/longOverdueDivisor
+	overdue := s.longWaits != 0 && c.now.Sub(s.longWaits) >= s.limiter.MaxQueueTime/longOverdueDivisor
 	return overdue || c.longRoom(s)
 }
 
@@ -44,7 +44,7 @@
 	if !binds {
 		return true
 	}
-	longs := s.pool.Longs()
+	longs := s.pool.LongInUse()
 	for i := range s.peers {
 		if p := &s.peers[i]; c.now.Sub(p.heard) <= loadReportTTL {
 			longs += p.longs
@@ -106,7 +106,7 @@
 		s.longKey, s.longRun = 0, 0
 		return
 	}
-	longs := s.pool.Longs()
+	longs := s.pool.LongInUse()
 	if longs == s.reportedLongs && s.longKey == 0 {
 		return
 	}
@@ -128,7 +128,7 @@
 
 // onlyLong reports whether long requests hold all usable slots here.
 func (s *service) onlyLong() bool {
-	return s.pool != nil && s.pool.Usable() > 0 && s.pool.Longs() >= s.pool.Usable()
+	return s.pool != nil && s.pool.Usable() > 0 && s.pool.LongInUse() >= s.pool.Usable()
 }
 
 // shortPeer returns a co-owner that has slots without long requests, preferring
--- a/internal/core/long_test.go
+++ b/internal/core/long_test.go
@@ -58,7 +58,7 @@
 
 func (w *world) longs() (n int) {
 	for i := range w.cores {
-		n += w.pool(i).Longs()
+		n += w.pool(i).LongInUse()
 	}
 	return n
 }
@@ -117,17 +117,17 @@
 		d := longGet(3000).encode(t)
 		c.enqueue(c.newRequest(&arrival{exchange: exchange{svc: s, caller: callerA, id: d.ID, token: d.Token}, m: &d}), spread.Long)
 	})
-	step := s.limiter.QueueTime / longOverdueDivisor
+	step := s.limiter.MaxQueueTime / longOverdueDivisor
 	for range step/time.Millisecond - 20 {
 		w.advance(time.Millisecond)
 		claim()
 	}
-	assert.Equal(t, w.pool(0).Longs(), 0)
+	assert.Equal(t, w.pool(0).LongInUse(), 0)
 	for range 50 {
 		w.advance(time.Millisecond)
 		claim()
 	}
-	assert.Equal(t, w.pool(0).Longs(), 1)
+	assert.Equal(t, w.pool(0).LongInUse(), 1)
 }
 
 // Guards against a short request that waits for the end of a long one in an
@@ -142,7 +142,7 @@
 	}
 	assert.Assert(t, owner >= 0, "no instance owns a single slot")
 	w.send(owner, callerA, longGet(4000))
-	assert.Equal(t, w.pool(owner).Longs(), 1)
+	assert.Equal(t, w.pool(owner).LongInUse(), 1)
 	w.reportLoads()
 	w.call(owner, func(c *Core, out *Effects) {
 		c.begin(w.now, out)
--- a/internal/core/mix_test.go
+++ b/internal/core/mix_test.go
@@ -114,7 +114,7 @@
 	assert.Equal(t, held, "0 0 0 0 0 0 0")
 	assert.Assert(t, len(c.exchanges) <= registrations)
 	assert.Assert(t, !slices.ContainsFunc(s.partners, func(p partner) bool { return p.queued != [2]int{} }))
-	assert.Equal(t, s.pool.Free(spread.Short), s.pool.Owned())
+	assert.Equal(t, s.pool.Free(spread.Short), s.pool.Capacity())
 }
 
 func (w *world) address(target ids.Target) ids.Endpoint {
--- a/internal/core/once_test.go
+++ b/internal/core/once_test.go
@@ -139,7 +139,7 @@
 	w := newWorld(t, 2, resolved("s", 4))
 	for _, c := range w.cores {
 		for range 20 {
-			c.services["s"].budget.Attempt()
+			c.services["s"].budget.Deposit()
 		}
 	}
 	sheds := 1
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -106,7 +106,7 @@
 // block look long.
 func (s *service) runKey(m *message.Message) uint64 {
 	if m.Block1.Num > 0 || m.Block2.Num > 0 {
-		return spread.Unlearned
+		return spread.UntrackedKey
 	}
 	return s.contentKey(m)
 }
--- a/internal/core/request_test.go
+++ b/internal/core/request_test.go
@@ -178,7 +178,7 @@
 		return &message.Outgoing{Type: message.Acknowledgement, Code: message.Content, ID: b.m.ID, Token: b.m.Token}
 	}
 	for range 20 {
-		w.cores[0].services["s"].budget.Attempt()
+		w.cores[0].services["s"].budget.Deposit()
 	}
 	for n := range 40 {
 		w.send(0, callerN(n), get(1))
--- a/internal/core/service.go
+++ b/internal/core/service.go
@@ -39,7 +39,7 @@
 	hosts      map[string]int // Uri-Host to index in partners
 	limiter    admission.Limiter
 	budget     admission.RetryBudget
-	returns    share.Returns
+	returns    share.RetryPacer
 
 	generation uint64
 	pool       *spread.Pool
@@ -91,9 +91,9 @@
 	for _, m := range p.Protect.Idempotent {
 		s.idempotent |= 1 << methods[m]
 	}
-	s.limiter = admission.Limiter{QueueTime: p.Protect.QueueTime, Deadline: p.Protect.Deadline, Length: p.Protect.QueueLength}
+	s.limiter = admission.Limiter{MaxQueueTime: p.Protect.QueueTime, Deadline: p.Protect.Deadline, MaxLength: p.Protect.QueueLength}
 	s.budget.Ratio = p.Protect.RetryRatio
-	s.returns.Min, s.returns.Max, s.returns.Part = p.Protect.RetryAfterMin, p.Protect.RetryAfterMax, returnPart
+	s.returns.Min, s.returns.Max, s.returns.LoadFraction = p.Protect.RetryAfterMin, p.Protect.RetryAfterMax, returnPart
 
 	old := s.partners
 	s.partners = append(make([]partner, 0, len(p.Partners)+1), partner{Partner: config.Partner{Weight: 1}})
@@ -174,7 +174,7 @@
 	if s.pool == nil {
 		return 0
 	}
-	return s.pool.Owned()
+	return s.pool.Capacity()
 }
 
 func (s *service) backlog() int { return s.queues[spread.Short].Len() + s.queues[spread.Long].Len() }
@@ -196,7 +196,7 @@
 		return false
 	}
 	*l = peerwire.Load{Service: s.name, Backlog: uint16(min(s.backlog(), 1<<16-1)), Refuse: !c.accepting()}
-	l.Slots, l.Long = uint16(s.pool.Usable()), uint16(s.pool.Longs())
+	l.Slots, l.Long = uint16(s.pool.Usable()), uint16(s.pool.LongInUse())
 	l.LongKey, l.LongRun = s.longKey, uint32(s.longRun/time.Millisecond)
 	if c.accepting() {
 		l.Free = uint16(max(0, s.pool.Free(spread.Short)))
@@ -216,7 +216,7 @@
 		p.free, p.backlog, p.refuse, p.heard = int(l.Free), int(l.Backlog), l.Refuse, c.now
 		p.slots, p.longs = int(l.Slots), int(l.Long)
 		if s.pool != nil {
-			s.pool.Adopt(l.LongKey, time.Duration(l.LongRun)*time.Millisecond)
+			s.pool.ImportRunTime(l.LongKey, time.Duration(l.LongRun)*time.Millisecond)
 		}
 	}
 }
--- a/internal/core/stop.go
+++ b/internal/core/stop.go
@@ -160,7 +160,7 @@
 	c.stop.tries++
 	c.stop.sent = c.now
 	for _, p := range c.stop.parts {
-		c.admissions.Stamp(c.now, p)
+		c.admissions.StampClocks(c.now, p)
 		b := c.peer(nil)
 		b.message.AdmissionMove = p
 		c.send(c.stop.successor, b)
--- a/internal/core/tick.go
+++ b/internal/core/tick.go
@@ -171,6 +171,6 @@
 	if s.pool == nil {
 		return
 	}
-	s.pool.Health(c.now, spread.Health{Target: e.Target, Healthy: e.Healthy, Draining: e.Draining, Load: e.Load, Took: e.Took})
+	s.pool.RecordCheck(c.now, spread.CheckResult{Target: e.Target, Healthy: e.Healthy, Draining: e.Draining, Load: e.Load, Duration: e.Took})
 	c.dispatch(s)
 }
--- a/internal/experiment/design.go
+++ b/internal/experiment/design.go
@@ -65,7 +65,7 @@
 	queues  [2]share.Queue[*queued]
 	waiting [2]map[ids.Partner]int
 	limit   admission.Limiter
-	returns share.Returns
+	returns share.RetryPacer
 	weights map[ids.Partner]uint32
 	peers   map[*instance]*load
 	rng     *rand.Rand
@@ -104,8 +104,8 @@
 
 func (n *design) profile(r *config.Resolved) {
 	p := r.Profile.Protect
-	n.limit = admission.Limiter{QueueTime: p.QueueTime, Deadline: p.Deadline, Length: p.QueueLength}
-	n.returns.Min, n.returns.Max, n.returns.Part = p.RetryAfterMin, p.RetryAfterMax, returnPart
+	n.limit = admission.Limiter{MaxQueueTime: p.QueueTime, Deadline: p.Deadline, MaxLength: p.QueueLength}
+	n.returns.Min, n.returns.Max, n.returns.LoadFraction = p.RetryAfterMin, p.RetryAfterMax, returnPart
 	n.weights = map[ids.Partner]uint32{}
 	for _, partner := range r.Profile.Partners {
 		n.weights[partner.Name] = partner.Weight
@@ -127,7 +127,7 @@
 		return
 	}
 	q := &queued{r: r, key: r.path, class: p.Classify(r.path), expires: n.c.expiry(r)}
-	q.until = n.c.now.Add(n.limit.QueueTime)
+	q.until = n.c.now.Add(n.limit.MaxQueueTime)
 	if n.queues[q.class].Len() == 0 && n.dispatch(q) {
 		return
 	}
@@ -138,8 +138,8 @@
 		}
 	}
 	partner := r.mix.partner
-	slots := float64(p.Owned()) * n.part(q.class, partner)
-	if !n.limit.Fits(n.waiting[q.class][partner], p.RunTime(), slots) {
+	slots := float64(p.Capacity()) * n.part(q.class, partner)
+	if !n.limit.CanQueue(n.waiting[q.class][partner], p.RunTime(), slots) {
 		n.refuse(r)
 		return
 	}
@@ -191,9 +191,9 @@
 func (n *design) refuse(r *request) {
 	rate := 0.0
 	if p := n.pool(); p != nil {
-		rate = p.Rate()
+		rate = p.ServiceRate()
 	}
-	n.c.respond(r, refused, time.Duration(n.returns.Seconds(n.c.now, rate, n.rng))*time.Second)
+	n.c.respond(r, refused, time.Duration(n.returns.RetryAfter(n.c.now, rate, n.rng))*time.Second)
 }
 
 // dispatch sends q to a backend server if an owned slot is free for it.
@@ -293,7 +293,7 @@
 }
 
 func (n *design) health(b *backend, healthy bool) {
-	n.pool().Health(n.c.now, spread.Health{Target: b.target.Name, Healthy: healthy, Load: -1})
+	n.pool().RecordCheck(n.c.now, spread.CheckResult{Target: b.target.Name, Healthy: healthy, Load: -1})
 }
 
 func (n *design) tick() {
--- a/internal/share/returns.go
+++ b/internal/share/returns.go
@@ -7,30 +7,30 @@
 	"arbutusdock.example/arbutusdock/internal/ids"
 )
 
-// Returns spreads the return of refused callers over time. It books one return
-// after the other at Part of the rate at which the owner serves requests, so
+// RetryPacer spreads the return of refused callers over time. It books one return
+// after the other at LoadFraction of the rate at which the owner serves requests, so
 // that callers who return add at most this part to the load, however long the
 // overload lasts. Times drawn from an interval that grows with the ratio of
 // load to capacity do not ensure this, because the interval does not grow with
 // the number of callers that have been refused already.
-type Returns struct {
-	Min, Max time.Duration
-	Part     float64  // of the service rate, 0 to 1
-	next     ids.Time // of the next booking
+type RetryPacer struct {
+	Min, Max     time.Duration
+	LoadFraction float64  // of the service rate, 0 to 1
+	next         ids.Time // of the next booking
 }
 
-// Seconds books a return and gives the time until then in whole seconds, the
+// RetryAfter books a return and gives the time until then in whole seconds, the
 // unit of Max-Age, between Min and Max. rate is the number of requests a
 // second that the owner can serve. The time is drawn uniformly around the
 // booking, from half to one and a half of it. Without that, the callers refused
 // in a fraction of a second all came back in the same fraction of a later one,
 // since they wait for whole seconds.
-func (r *Returns) Seconds(now ids.Time, rate float64, rng *rand.Rand) uint32 {
+func (r *RetryPacer) RetryAfter(now ids.Time, rate float64, rng *rand.Rand) uint32 {
 	// Bookings beyond Max fall on Max; to go on counting them would delay
 	// later ones for nothing.
 	r.next = min(max(r.next, now.Add(r.Min)), now.Add(r.Max))
 	d := r.next.Sub(now)
-	if part := rate * r.Part; part > 0 {
+	if part := rate * r.LoadFraction; part > 0 {
 		r.next = r.next.Add(time.Duration(float64(time.Second) / part))
 	}
 	d = d/2 + time.Duration(rng.Float64()*float64(d))
--- a/internal/spread/adopt_test.go
+++ b/internal/spread/adopt_test.go
@@ -18,11 +18,11 @@
 	p.adopt(1, time.Second)
 	p.adopt(2, time.Second)
 	p.adopt(3, 0)
-	p.adopt(Unlearned, time.Second)
+	p.adopt(UntrackedKey, time.Second)
 	assert.Equal(t, p.classify(1), Short)
 	assert.Equal(t, p.classify(2), Long)
 	assert.Equal(t, p.classify(3), Short)
-	assert.Equal(t, p.classify(Unlearned), Short)
+	assert.Equal(t, p.classify(UntrackedKey), Short)
 	assert.Equal(t, p.mid, mid)
 	assert.Equal(t, p.total, total)
 	for range 20 { // own run times correct the adopted one
--- a/internal/spread/assign_test.go
+++ b/internal/spread/assign_test.go
@@ -99,7 +99,7 @@
 	tab := table(names(9), 3)
 	for flow := range uint64(100) {
 		home, ok := tab.Home("s", ids.Mix(flow, 3))
-		assert.Assert(t, ok && tab.Share("s", home) > 0)
+		assert.Assert(t, ok && tab.SlotShare("s", home) > 0)
 	}
 	tab.SetInstances(start, nil)
 	_, ok := tab.Home("s", 1)
@@ -118,5 +118,5 @@
 	tab := NewTable("instance-000", dc, 1)
 	tab.SetInstances(start, names(1))
 	tab.SetService(start, r)
-	assert.Equal(t, tab.Pool("s").Owned(), 2)
+	assert.Equal(t, tab.Pool("s").Capacity(), 2)
 }
--- a/internal/spread/firstcheck_test.go
+++ b/internal/spread/firstcheck_test.go
@@ -20,9 +20,9 @@
 	assert.Assert(t, !ok, "used before the first check")
 	f.advance(10 * time.Millisecond)
 	assert.DeepEqual(t, f.due, map[ids.Target]int{"t00000": 1, "t00001": 1})
-	f.pool.Health(f.now, Health{Target: "t00000", Healthy: true, Draining: true})
-	f.pool.Health(f.now, Health{Target: "t00001", Healthy: true})
-	assert.Equal(t, f.pool.Owned(), 2)
+	f.pool.RecordCheck(f.now, CheckResult{Target: "t00000", Healthy: true, Draining: true})
+	f.pool.RecordCheck(f.now, CheckResult{Target: "t00001", Healthy: true})
+	assert.Equal(t, f.pool.Capacity(), 2)
 	l, ok := f.pool.Acquire(f.now, Short, "")
 	assert.Assert(t, ok && l.Target == "t00001")
 }
--- a/internal/spread/fixture_test.go
+++ b/internal/spread/fixture_test.go
@@ -63,7 +63,7 @@
 // follow a takeover of slots do.
 func (f *fixture) passFirstChecks() {
 	for _, t := range f.pool.Targets(nil) {
-		f.pool.Health(f.now, Health{Target: t.Target, Healthy: true})
+		f.pool.RecordCheck(f.now, CheckResult{Target: t.Target, Healthy: true})
 	}
 }
 
--- a/internal/spread/health.go
+++ b/internal/spread/health.go
@@ -119,9 +119,9 @@
 	p.refresh(now, i)
 }
 
-// Health records the result of an active health check. The reported load is
+// RecordCheck records the result of an active health check. The reported load is
 // not used for placement: it may be stale, while the slots in use are known.
-func (p *Pool) Health(now ids.Time, h Health) {
+func (p *Pool) RecordCheck(now ids.Time, h CheckResult) {
 	p.now = now
 	i, ok := p.byName[h.Target]
 	if !ok {
--- a/internal/spread/health_test.go
+++ b/internal/spread/health_test.go
@@ -9,7 +9,7 @@
 )
 
 func (f *fixture) check(t ids.Target, healthy bool) {
-	f.pool.Health(f.now, Health{Target: t, Healthy: healthy})
+	f.pool.RecordCheck(f.now, CheckResult{Target: t, Healthy: healthy})
 }
 
 // Guards against a target that fails requests and stays in use, and against
@@ -18,7 +18,7 @@
 	f := newFixture(4)
 	f.fail("t00001")
 	assert.Equal(t, f.state("t00001").Suspicion, "suspected")
-	assert.Equal(t, f.pool.Owned(), 6)
+	assert.Equal(t, f.pool.Capacity(), 6)
 	for _, wait := range []time.Duration{500 * time.Millisecond, time.Second, 2 * time.Second} {
 		f.advance(wait - 20*time.Millisecond)
 		assert.Equal(t, f.pool.Free(Short), 6)
@@ -86,16 +86,16 @@
 	f := newFixture(4)
 	f.fail("t00000")
 	f.fail("t00001")
-	assert.Equal(t, f.pool.Owned(), 4)
+	assert.Equal(t, f.pool.Capacity(), 4)
 	f.fail("t00002")
-	assert.Equal(t, f.pool.Owned(), 8)
+	assert.Equal(t, f.pool.Capacity(), 8)
 	l, _ := f.pool.AcquireTarget(f.now, "t00002")
 	f.pool.Release(f.now+ms, l, 1, Success)
 	assert.Equal(t, f.state("t00002").Suspicion, "trusted")
-	assert.Equal(t, f.pool.Owned(), 3, "one slot of t00002 during slow start")
+	assert.Equal(t, f.pool.Capacity(), 3, "one slot of t00002 during slow start")
 	one := newFixture(1)
 	one.fail("t00000")
-	assert.Equal(t, one.pool.Owned(), 0)
+	assert.Equal(t, one.pool.Capacity(), 0)
 }
 
 // Guards against a new target that is used before it is up or with all its
@@ -108,21 +108,21 @@
 	f.due = map[ids.Target]int{}
 	f.advance(10 * time.Millisecond)
 	assert.Equal(t, f.due["t00004"], 1, "checked at once")
-	assert.Equal(t, f.pool.Owned(), 8)
+	assert.Equal(t, f.pool.Capacity(), 8)
 	f.check("t00004", true)
-	assert.Equal(t, f.pool.Owned(), 9)
+	assert.Equal(t, f.pool.Capacity(), 9)
 	f.advance(2100 * time.Millisecond)
-	assert.Equal(t, f.pool.Owned(), 10)
+	assert.Equal(t, f.pool.Capacity(), 10)
 	f.advance(3 * time.Second)
-	assert.Equal(t, f.pool.Owned(), 11, "a probe request of the target that was not checked")
+	assert.Equal(t, f.pool.Capacity(), 11, "a probe request of the target that was not checked")
 }
 
 // Guards against new work for a draining target, and against one that is
 // never used again after the drain was withdrawn.
 func TestDrainingTarget(t *testing.T) {
 	f := newFixture(2)
-	f.pool.Health(f.now, Health{Target: "t00000", Healthy: true, Draining: true})
-	assert.Assert(t, f.pool.Owned() == 2 && f.pool.Leaving("t00000"))
+	f.pool.RecordCheck(f.now, CheckResult{Target: "t00000", Healthy: true, Draining: true})
+	assert.Assert(t, f.pool.Capacity() == 2 && f.pool.OutOfService("t00000"))
 	_, ok := f.pool.AcquireTarget(f.now, "t00000")
 	assert.Assert(t, ok, "a follow-up block")
 	f.check("t00000", true)
@@ -134,7 +134,7 @@
 	f.r.Service.Targets[0].Draining = false
 	f.SetService(f.now, f.r)
 	f.advance(2100 * time.Millisecond)
-	assert.Equal(t, f.pool.Owned(), 4)
+	assert.Equal(t, f.pool.Capacity(), 4)
 }
 
 // Guards against requests that are sent again and again to a full target.
@@ -180,10 +180,10 @@
 	f.check("t00001", false)
 	f.check("t00001", false)
 	assert.Equal(t, f.state("t00001").Suspicion, "suspected")
-	f.pool.Health(f.now, Health{Target: "t00001", Draining: true})
+	f.pool.RecordCheck(f.now, CheckResult{Target: "t00001", Draining: true})
 	for _, l := range leases {
 		f.pool.Release(f.now, l, 1, Success)
 	}
 	assert.Equal(t, f.state("t00001").Lifecycle, "draining")
-	assert.Assert(t, f.pool.Leaving("t00001"))
+	assert.Assert(t, f.pool.OutOfService("t00001"))
 }
--- a/internal/spread/pool.go
+++ b/internal/spread/pool.go
@@ -301,10 +301,10 @@
 	t.listed = false
 }
 
-// Owned returns the number of usable owned slots, including one for each
+// Capacity returns the number of usable owned slots, including one for each
 // suspected target that is due for a probe request and those that become
 // usable when the first health check ends.
-func (p *Pool) Owned() int { return p.usable + p.probes + p.unchecked }
+func (p *Pool) Capacity() int { return p.usable + p.probes + p.unchecked }
 
 // Free returns the number of slots that a request of class c may take now.
 func (p *Pool) Free(c Class) int {
@@ -324,32 +324,32 @@
 // Usable returns the number of usable owned slots, free or not.
 func (p *Pool) Usable() int { return p.usable }
 
-// Longs returns the number of slots that long requests hold.
-func (p *Pool) Longs() int { return p.longs }
+// LongInUse returns the number of slots that long requests hold.
+func (p *Pool) LongInUse() int { return p.longs }
 
 // RunTime returns the mean run time of short requests.
 func (p *Pool) RunTime() time.Duration { return p.predictor.short() }
 
-// Rate returns the number of requests a second, short and long, that the usable
+// ServiceRate returns the number of requests a second, short and long, that the usable
 // slots serve.
-func (p *Pool) Rate() float64 {
-	return float64(p.Owned()) / max(p.predictor.slotMean, time.Microsecond).Seconds()
+func (p *Pool) ServiceRate() float64 {
+	return float64(p.Capacity()) / max(p.predictor.slotMean, time.Microsecond).Seconds()
 }
 
 // Classify predicts the class of requests with this key, a hash of service,
 // code and Uri-Path.
 func (p *Pool) Classify(key uint64) Class { return p.predictor.classify(key) }
 
-// Adopt takes over the run time of a long request that another owner reports,
+// ImportRunTime takes over the run time of a long request that another owner reports,
 // so that one owner after the other does not first serve such a request as a
 // short one.
-func (p *Pool) Adopt(key uint64, run time.Duration) { p.predictor.adopt(key, run) }
+func (p *Pool) ImportRunTime(key uint64, run time.Duration) { p.predictor.adopt(key, run) }
 
-// Leaving reports whether target is draining, no longer part of the service or
+// OutOfService reports whether target is draining, no longer part of the service or
 // not owned here. The health of a target that is not owned is not checked, so a
 // drain that only its health endpoint reports would go unnoticed, and no slot
 // of it will become free here.
-func (p *Pool) Leaving(name ids.Target) bool {
+func (p *Pool) OutOfService(name ids.Target) bool {
 	draining, known := p.known[name]
 	if !known || draining {
 		return true
--- a/internal/spread/pool_test.go
+++ b/internal/spread/pool_test.go
@@ -145,7 +145,7 @@
 				f.r.Service.Targets[0].Draining = rapid.Bool().Draw(r, "draining")
 				f.SetService(f.now, f.r)
 			case 5:
-				f.pool.Health(f.now, Health{Target: "t00001", Healthy: rapid.Bool().Draw(r, "healthy")})
+				f.pool.RecordCheck(f.now, CheckResult{Target: "t00001", Healthy: rapid.Bool().Draw(r, "healthy")})
 			case 6:
 				f.advance(time.Duration(rapid.IntRange(1, 300).Draw(r, "time")) * 10 * time.Millisecond)
 			}
@@ -194,7 +194,7 @@
 	l, _ := f.pool.Acquire(f.now, Short, "")
 	name, _, _ := f.pool.OpenFeed(f.now, "")
 	f.RemoveService("s")
-	assert.Assert(t, f.Pool("s") == f.pool && f.pool.Free(Short) == 0 && f.pool.Leaving(name))
+	assert.Assert(t, f.Pool("s") == f.pool && f.pool.Free(Short) == 0 && f.pool.OutOfService(name))
 	f.pool.Release(f.now, l, 1, Success)
 	f.pool.CloseFeed(name, Success)
 	f.advance(20 * time.Millisecond)
@@ -210,13 +210,13 @@
 	for i := range 3 {
 		name := ids.Target(fmt.Sprintf("t%05d", i))
 		j, ok := f.pool.byName[name]
-		assert.Equal(t, f.pool.Leaving(name), !ok || f.pool.targets[j].owned == 0, "%s", name)
+		assert.Equal(t, f.pool.OutOfService(name), !ok || f.pool.targets[j].owned == 0, "%s", name)
 	}
 	f.SetInstances(f.now, names(1))
 	name, _, _ := f.pool.OpenFeed(f.now, "")
-	assert.Assert(t, !f.pool.Leaving(name))
+	assert.Assert(t, !f.pool.OutOfService(name))
 	f.SetInstances(f.now, []ids.Instance{"instance-001", "instance-002"})
-	assert.Assert(t, f.pool.Leaving(name))
+	assert.Assert(t, f.pool.OutOfService(name))
 }
 
 // Guards against feeds that pile up on one target, exceed the limit of the
@@ -237,7 +237,7 @@
 	f.pool.CloseFeed("t00002", Success)
 	name, _, _ := f.pool.OpenFeed(f.now, "")
 	assert.Equal(t, name, ids.Target("t00002"))
-	assert.Assert(t, f.pool.Leaving("t00003") && !f.pool.Leaving("t00000") && f.pool.Leaving("unknown"))
+	assert.Assert(t, f.pool.OutOfService("t00003") && !f.pool.OutOfService("t00000") && f.pool.OutOfService("unknown"))
 }
 
 // Guards against a target that keeps its old address, health and requests
@@ -331,5 +331,5 @@
 		f.request(key, run, Success)
 	}
 	want := 10 / 0.0198 // slots over mean run time
-	assert.Assert(t, f.pool.Rate() > want/2 && f.pool.Rate() < want*2, "%v, want about %v", f.pool.Rate(), want)
+	assert.Assert(t, f.pool.ServiceRate() > want/2 && f.pool.ServiceRate() < want*2, "%v, want about %v", f.pool.ServiceRate(), want)
 }
--- a/internal/spread/predict.go
+++ b/internal/spread/predict.go
@@ -14,9 +14,9 @@
 	initialRunTime = 20 * time.Millisecond
 )
 
-// Unlearned is the key of requests whose run time says nothing about others.
+// UntrackedKey is the key of requests whose run time says nothing about others.
 // They are short.
-const Unlearned uint64 = 0
+const UntrackedKey uint64 = 0
 
 const (
 	predictorSets   = 128 // times predictorWays keys with a history
@@ -80,7 +80,7 @@
 
 // expected returns the mean run time of requests with key, 0 when unknown.
 func (p *predictor) expected(key uint64) time.Duration {
-	if key == Unlearned {
+	if key == UntrackedKey {
 		return 0
 	}
 	set := &p.sets[key%predictorSets]
@@ -95,7 +95,7 @@
 // adopt takes the run time of a request with a key that has no history here
 // from another owner.
 func (p *predictor) adopt(key uint64, run time.Duration) {
-	if key == Unlearned || run <= 0 || p.expected(key) > 0 {
+	if key == UntrackedKey || run <= 0 || p.expected(key) > 0 {
 		return
 	}
 	p.find(key).mean = run
@@ -105,7 +105,7 @@
 // about a dead target as about the request: only a row of them without a
 // success makes the request long.
 func (p *predictor) learn(key uint64, run time.Duration, c Class, o Outcome) {
-	if key == Unlearned || run <= 0 || o != Success && o != Timeout {
+	if key == UntrackedKey || run <= 0 || o != Success && o != Timeout {
 		return
 	}
 	h := p.find(key)
--- a/internal/spread/table.go
+++ b/internal/spread/table.go
@@ -187,8 +187,8 @@
 	return nil
 }
 
-// Share returns the part of the slots of s that id owns, 0 to 1.
-func (t *Table) Share(s ids.Service, id ids.Instance) float64 {
+// SlotShare returns the part of the slots of s that id owns, 0 to 1.
+func (t *Table) SlotShare(s ids.Service, id ids.Instance) float64 {
 	e := t.services[s]
 	if e == nil || e.total == 0 {
 		return 0
--- a/internal/spread/types.go
+++ b/internal/spread/types.go
@@ -39,13 +39,13 @@
 	gen      uint32 // generation of that entry
 }
 
-// Health is the result of one active health check of a target.
-type Health struct {
+// CheckResult is the result of one active health check of a target.
+type CheckResult struct {
 	Target   ids.Target
 	Healthy  bool
 	Draining bool
 	Load     float64 // reported share of slots in use; negative when absent
-	Took     time.Duration
+	Duration time.Duration
 }
 
 // TargetState describes one target of a pool, for the admin interface.
