--- a/internal/admission/handover.go
+++ b/internal/admission/handover.go
@@ -14,7 +14,7 @@
 const MaxPartBytes = 32 << 10
 
 // entryBytes is the approximate size of an entry without its response.
-const entryBytes = 40
+const entryOverhead = 40
 
 // Errors of Import.
 var (
@@ -26,7 +26,7 @@
 // Requests that are still running are exported with an unknown outcome.
 func (t *Table) Export(now ids.Time) []*peerwire.AdmissionMove {
 	incarnations := []ids.Incarnation{t.self}
-	for i, m := range t.moved {
+	for i, m := range t.imports {
 		if m.complete {
 			incarnations = append(incarnations, i)
 		}
@@ -41,10 +41,10 @@
 		if e.ID.Incarnation != t.self && !t.AuthoritativeFor(e.ID.Incarnation) {
 			continue
 		}
-		a := export(now, e)
-		if size += entryBytes + len(a.Response); size > MaxPartBytes && len(part.Entries) > 0 {
+		a := exportEntry(now, e)
+		if size += entryOverhead + len(a.Response); size > MaxPartBytes && len(part.Entries) > 0 {
 			part = &peerwire.AdmissionMove{Incarnations: incarnations, Clocks: clocks, Part: part.Part + 1}
-			parts, size = append(parts, part), entryBytes+len(a.Response)
+			parts, size = append(parts, part), entryOverhead+len(a.Response)
 		}
 		part.Entries = append(part.Entries, a)
 	}
@@ -59,12 +59,12 @@
 	for k, i := range p.Incarnations {
 		p.Clocks[k] = now
 		if i != t.self {
-			p.Clocks[k] = now.Add(t.moved[i].offset)
+			p.Clocks[k] = now.Add(t.imports[i].offset)
 		}
 	}
 }
 
-func export(now ids.Time, e *Entry) peerwire.Admission {
+func exportEntry(now ids.Time, e *Entry) peerwire.Admission {
 	a := peerwire.Admission{
 		Incarnation: e.ID.Incarnation,
 		Nonce:       slices.Clone(e.ID.Nonce[:]),
@@ -103,10 +103,10 @@
 			return false, ErrMalformedEntry
 		}
 	}
-	m := t.moved[p.Incarnations[0]]
+	m := t.imports[p.Incarnations[0]]
 	if m == nil {
-		m = &moved{parts: make(map[uint32]bool)}
-		t.moved[p.Incarnations[0]] = m
+		m = &importState{parts: make(map[uint32]bool)}
+		t.imports[p.Incarnations[0]] = m
 	}
 	if m.complete {
 		return true, nil
@@ -122,7 +122,7 @@
 		return false, nil
 	}
 	for k, i := range p.Incarnations {
-		t.moved[i] = &moved{offset: p.Clocks[k].Sub(now), complete: true}
+		t.imports[i] = &importState{offset: p.Clocks[k].Sub(now), complete: true}
 	}
 	return true, nil
 }
@@ -132,7 +132,7 @@
 	if t.entries[id] != nil {
 		return
 	}
-	e := t.enter(id, a.Digest, now.Add(-time.Duration(a.AgeMS)*time.Millisecond))
+	e := t.insert(id, a.Digest, now.Add(-time.Duration(a.AgeMS)*time.Millisecond))
 	switch s := State(a.State); s {
 	case Answered:
 		t.Finish(id, s, a.Response, 0)
--- a/internal/admission/table.go
+++ b/internal/admission/table.go
@@ -75,7 +75,7 @@
 }
 
 // moved is the state of an incarnation whose table was handed over.
-type moved struct {
+type importState struct {
 	offset   time.Duration // its clock minus the own clock
 	parts    map[uint32]bool
 	last     uint32
@@ -90,21 +90,21 @@
 // Admit returns; while an ID is not entered and its token is younger than
 // NotRunWindow, nothing has run under it.
 type Table struct {
-	self    ids.Incarnation
-	limits  Limits
-	closed  bool
-	entries map[ID]*Entry
-	order   []*Entry // ring in order of entry
-	head    int
-	length  int
-	free    []*Entry
-	bytes   int
-	moved   map[ids.Incarnation]*moved
+	self          ids.Incarnation
+	limits        Limits
+	closed        bool
+	entries       map[ID]*Entry
+	ring          []*Entry // ring in order of entry
+	head          int
+	length        int
+	freeEntries   []*Entry
+	responseBytes int
+	imports       map[ids.Incarnation]*importState
 }
 
 // NewTable returns the table of incarnation self with the default limits.
 func NewTable(self ids.Incarnation) *Table {
-	return &Table{self: self, limits: DefaultLimits, entries: make(map[ID]*Entry), moved: make(map[ids.Incarnation]*moved)}
+	return &Table{self: self, limits: DefaultLimits, entries: make(map[ID]*Entry), imports: make(map[ids.Incarnation]*importState)}
 }
 
 // SetLimits replaces the limits. Entries above a lower limit stay.
@@ -125,7 +125,7 @@
 	if i == t.self {
 		return true
 	}
-	m := t.moved[i]
+	m := t.imports[i]
 	return m != nil && m.complete
 }
 
@@ -142,7 +142,7 @@
 	}
 	clock, open := now, !t.closed
 	if tok.Incarnation != t.self {
-		clock, open = now.Add(t.moved[tok.Incarnation].offset), false
+		clock, open = now.Add(t.imports[tok.Incarnation].offset), false
 	}
 	age := clock.Sub(ids.Time(tok.IssuedMS) * ids.Time(time.Millisecond))
 	switch {
@@ -155,13 +155,13 @@
 		// eviction, so nothing is said.
 		return nil, OutcomeUnknown
 	}
-	return t.enter(id, digest, now), Admit
+	return t.insert(id, digest, now), Admit
 }
 
-func (t *Table) enter(id ID, digest uint64, admitted ids.Time) *Entry {
+func (t *Table) insert(id ID, digest uint64, admitted ids.Time) *Entry {
 	var e *Entry
-	if n := len(t.free); n > 0 {
-		e, t.free = t.free[n-1], t.free[:n-1]
+	if n := len(t.freeEntries); n > 0 {
+		e, t.freeEntries = t.freeEntries[n-1], t.freeEntries[:n-1]
 	} else {
 		e = new(Entry)
 	}
@@ -183,12 +183,12 @@
 	if s != Answered {
 		return
 	}
-	if t.bytes+len(response) > t.limits.Bytes {
+	if t.responseBytes+len(response) > t.limits.Bytes {
 		e.State = Unknown
 		return
 	}
 	e.Response = append(e.Response, response...)
-	t.bytes += len(e.Response)
+	t.responseBytes += len(e.Response)
 }
 
 // Running returns the number of admitted requests without an outcome.
@@ -210,24 +210,24 @@
 		if now.Sub(e.Admitted) <= EntryLifetime {
 			return
 		}
-		t.head = (t.head + 1) % len(t.order)
+		t.head = (t.head + 1) % len(t.ring)
 		t.length--
-		t.bytes -= len(e.Response)
+		t.responseBytes -= len(e.Response)
 		delete(t.entries, e.ID)
-		t.free = append(t.free, e)
+		t.freeEntries = append(t.freeEntries, e)
 	}
 }
 
-func (t *Table) at(i int) *Entry { return t.order[(t.head+i)%len(t.order)] }
+func (t *Table) at(i int) *Entry { return t.ring[(t.head+i)%len(t.ring)] }
 
 func (t *Table) push(e *Entry) {
-	if t.length == len(t.order) {
-		grown := make([]*Entry, max(64, 2*len(t.order)))
+	if t.length == len(t.ring) {
+		grown := make([]*Entry, max(64, 2*len(t.ring)))
 		for i := range t.length {
 			grown[i] = t.at(i)
 		}
-		t.order, t.head = grown, 0
+		t.ring, t.head = grown, 0
 	}
-	t.order[(t.head+t.length)%len(t.order)] = e
+	t.ring[(t.head+t.length)%len(t.ring)] = e
 	t.length++
 }
--- a/internal/admission/token.go
+++ b/internal/admission/token.go
@@ -49,16 +49,16 @@
 // Keyring holds the keys shared by the instances. One key signs, all verify.
 // It reuses its buffers, so it belongs to one goroutine.
 type Keyring struct {
-	keys [256]hash.Hash
-	sign uint8
-	body [bodySize]byte
-	name []byte
-	sum  [sha256.Size]byte
+	keys     [256]hash.Hash
+	signKey  uint8
+	body     [bodySize]byte
+	macInput []byte
+	sum      [sha256.Size]byte
 }
 
 // NewKeyring returns a keyring over keys that signs with the key sign.
 func NewKeyring(sign uint8, keys map[uint8][]byte) (*Keyring, error) {
-	k := &Keyring{sign: sign}
+	k := &Keyring{signKey: sign}
 	for id, key := range keys {
 		if len(key) < MinKeySize {
 			return nil, eris.Errorf("admission key %d: %d bytes, at least %d are needed", id, len(key), MinKeySize)
@@ -73,14 +73,14 @@
 
 // Mint writes the encoding of t for service to dst. The key id of t is ignored.
 func (k *Keyring) Mint(dst *[TokenSize]byte, t Token, service ids.Service) {
-	dst[0] = k.sign
+	dst[0] = k.signKey
 	binary.BigEndian.PutUint64(dst[1:9], uint64(t.Incarnation))
 	var ms [8]byte
 	binary.BigEndian.PutUint64(ms[:], t.IssuedMS)
 	copy(dst[9:15], ms[2:])
 	copy(dst[15:bodySize], t.Nonce[:])
 	copy(k.body[:], dst[:bodySize])
-	copy(dst[bodySize:], k.mac(k.sign, service))
+	copy(dst[bodySize:], k.mac(k.signKey, service))
 }
 
 // Parse checks the Echo option value echo of a request to service.
@@ -107,7 +107,7 @@
 func (k *Keyring) mac(id uint8, service ids.Service) []byte {
 	h := k.keys[id]
 	h.Reset()
-	k.name = append(append(k.name[:0], k.body[:]...), service...)
-	_, _ = h.Write(k.name)
+	k.macInput = append(append(k.macInput[:0], k.body[:]...), service...)
+	_, _ = h.Write(k.macInput)
 	return h.Sum(k.sum[:0])[:TokenSize-bodySize]
 }
--- a/internal/share/heap.go
+++ b/internal/share/heap.go
@@ -4,40 +4,40 @@
 // box its elements and call through an interface on the path of every request.
 
 func (q *Queue[T]) less(a, b *partner[T]) bool {
-	if a.virtual != b.virtual {
-		return a.virtual < b.virtual
+	if a.virtualTime != b.virtualTime {
+		return a.virtualTime < b.virtualTime
 	}
-	return a.order < b.order
+	return a.activation < b.activation
 }
 
 func (q *Queue[T]) heapPush(p *partner[T]) {
-	p.index = len(q.heap)
+	p.heapIndex = len(q.heap)
 	q.heap = append(q.heap, p)
-	q.up(p.index)
+	q.siftUp(p.heapIndex)
 }
 
 func (q *Queue[T]) heapRemove(p *partner[T]) {
-	i, last := p.index, len(q.heap)-1
+	i, last := p.heapIndex, len(q.heap)-1
 	q.swap(i, last)
 	q.heap[last] = nil
 	q.heap = q.heap[:last]
-	p.index = -1
+	p.heapIndex = -1
 	if i < last {
 		q.heapFix(q.heap[i])
 	}
 }
 
 func (q *Queue[T]) heapFix(p *partner[T]) {
-	q.up(p.index)
-	q.down(p.index)
+	q.siftUp(p.heapIndex)
+	q.siftDown(p.heapIndex)
 }
 
 func (q *Queue[T]) swap(i, j int) {
 	q.heap[i], q.heap[j] = q.heap[j], q.heap[i]
-	q.heap[i].index, q.heap[j].index = i, j
+	q.heap[i].heapIndex, q.heap[j].heapIndex = i, j
 }
 
-func (q *Queue[T]) up(i int) {
+func (q *Queue[T]) siftUp(i int) {
 	for i > 0 {
 		parent := (i - 1) / 2
 		if !q.less(q.heap[i], q.heap[parent]) {
@@ -48,7 +48,7 @@
 	}
 }
 
-func (q *Queue[T]) down(i int) {
+func (q *Queue[T]) siftDown(i int) {
 	for {
 		least := i
 		for c := 2*i + 1; c <= 2*i+2 && c < len(q.heap); c++ {
--- a/internal/share/queue.go
+++ b/internal/share/queue.go
@@ -16,24 +16,24 @@
 // are assigned when an item reaches the head, so a change of weights or a
 // charge takes effect with the next Pop. The zero value is ready for use.
 type Queue[T any] struct {
-	partners map[ids.Partner]*partner[T]
-	list     []*partner[T] // all partners, oldest first
-	heap     []*partner[T] // partners with items, lowest virtual time first
-	virtual  float64       // virtual time of the last pop
-	weights  map[ids.Partner]uint32
-	length   int
-	arrivals uint64 // breaks ties in the order in which partners became active
+	partners    map[ids.Partner]*partner[T]
+	list        []*partner[T] // all partners, oldest first
+	heap        []*partner[T] // partners with items, lowest virtual time first
+	virtualTime float64       // virtual time of the last pop
+	weights     map[ids.Partner]uint32
+	length      int
+	activations uint64 // breaks ties in the order in which partners became active
 }
 
 // partner is the state of one partner. virtual counts seconds of slot time
 // per unit of weight.
 type partner[T any] struct {
-	name    ids.Partner
-	weight  float64
-	virtual float64
-	order   uint64
-	index   int // position in the heap, -1 when idle
-	items   ring[T]
+	name        ids.Partner
+	weight      float64
+	virtualTime float64
+	activation  uint64
+	heapIndex   int // position in the heap, -1 when idle
+	items       ring[T]
 }
 
 // entry is one queued item with its predicted slot time.
@@ -50,7 +50,7 @@
 	}
 	q.list = slices.DeleteFunc(q.list, func(p *partner[T]) bool {
 		p.weight = q.weight(p.name)
-		if _, listed := w[p.name]; listed || p.index >= 0 {
+		if _, listed := w[p.name]; listed || p.heapIndex >= 0 {
 			return false
 		}
 		delete(q.partners, p.name)
@@ -71,7 +71,7 @@
 		if q.partners == nil {
 			q.partners = make(map[ids.Partner]*partner[T])
 		}
-		p = &partner[T]{name: name, weight: q.weight(name), virtual: q.virtual, index: -1}
+		p = &partner[T]{name: name, weight: q.weight(name), virtualTime: q.virtualTime, heapIndex: -1}
 		q.partners[name] = p
 		q.list = append(q.list, p)
 	}
@@ -84,14 +84,14 @@
 	p := q.partner(name)
 	p.items.push(entry[T]{item, cost})
 	q.length++
-	if p.index >= 0 {
+	if p.heapIndex >= 0 {
 		return
 	}
 	// A partner that was idle starts at the current virtual time: it neither
 	// saves up unused share nor pays for share that was lent to it.
-	p.virtual = max(p.virtual, q.virtual)
-	p.order = q.arrivals
-	q.arrivals++
+	p.virtualTime = max(p.virtualTime, q.virtualTime)
+	p.activation = q.activations
+	q.activations++
 	q.heapPush(p)
 }
 
@@ -104,8 +104,8 @@
 	p := q.heap[0]
 	e := p.items.pop()
 	q.length--
-	q.virtual = max(q.virtual, p.virtual)
-	p.virtual += e.cost.Seconds() / p.weight
+	q.virtualTime = max(q.virtualTime, p.virtualTime)
+	p.virtualTime += e.cost.Seconds() / p.weight
 	if p.items.len() == 0 {
 		q.heapRemove(p)
 	} else {
@@ -118,8 +118,8 @@
 // known.
 func (q *Queue[T]) Charge(name ids.Partner, actualMinusPredicted time.Duration) {
 	p := q.partner(name)
-	p.virtual += actualMinusPredicted.Seconds() / p.weight
-	if p.index >= 0 {
+	p.virtualTime += actualMinusPredicted.Seconds() / p.weight
+	if p.heapIndex >= 0 {
 		q.heapFix(p)
 	}
 }
@@ -128,7 +128,7 @@
 // to removed. They are not charged.
 func (q *Queue[T]) RemoveIf(f func(T) bool, removed func(T)) {
 	for _, p := range q.list {
-		if p.index < 0 {
+		if p.heapIndex < 0 {
 			continue
 		}
 		q.length -= p.items.removeIf(f, removed)
--- a/internal/share/queue_test.go
+++ b/internal/share/queue_test.go
@@ -18,7 +18,7 @@
 const cost = 10 * time.Millisecond
 
 // drain pops n items and counts them by partner.
-func drain(q *Queue[int], n int) map[ids.Partner]int {
+func popAndCount(q *Queue[int], n int) map[ids.Partner]int {
 	got := map[ids.Partner]int{}
 	for range n {
 		_, p, ok := q.Pop()
@@ -43,9 +43,9 @@
 	q.SetWeights(map[ids.Partner]uint32{"a": 3, "b": 1})
 	fill(&q, "b", 1000)
 	fill(&q, "a", 300)
-	assert.DeepEqual(t, drain(&q, 200), map[ids.Partner]int{"a": 150, "b": 50})
+	assert.DeepEqual(t, popAndCount(&q, 200), map[ids.Partner]int{"a": 150, "b": 50})
 	q.SetWeights(map[ids.Partner]uint32{"a": 1, "b": 1})
-	got := drain(&q, 200)
+	got := popAndCount(&q, 200)
 	assert.Assert(t, got["a"] >= 99 && got["a"] <= 101, "%v", got)
 }
 
@@ -54,9 +54,9 @@
 	var q Queue[int]
 	q.SetWeights(map[ids.Partner]uint32{"a": 3, "b": 1})
 	fill(&q, "b", 500)
-	assert.DeepEqual(t, drain(&q, 400), map[ids.Partner]int{"b": 400})
+	assert.DeepEqual(t, popAndCount(&q, 400), map[ids.Partner]int{"b": 400})
 	fill(&q, "a", 100)
-	got := drain(&q, 40)
+	got := popAndCount(&q, 40)
 	assert.Assert(t, got["a"] >= 29 && got["a"] <= 31, "%v", got)
 }
 
--- a/internal/share/returns.go
+++ b/internal/share/returns.go
@@ -16,7 +16,7 @@
 type RetryPacer struct {
 	Min, Max     time.Duration
 	LoadFraction float64  // of the service rate, 0 to 1
-	next         ids.Time // of the next booking
+	nextReturn   ids.Time // of the next booking
 }
 
 // RetryAfter books a return and gives the time until then in whole seconds, the
@@ -28,10 +28,10 @@
 func (r *RetryPacer) RetryAfter(now ids.Time, rate float64, rng *rand.Rand) uint32 {
 	// Bookings beyond Max fall on Max; to go on counting them would delay
 	// later ones for nothing.
-	r.next = min(max(r.next, now.Add(r.Min)), now.Add(r.Max))
-	d := r.next.Sub(now)
+	r.nextReturn = min(max(r.nextReturn, now.Add(r.Min)), now.Add(r.Max))
+	d := r.nextReturn.Sub(now)
 	if part := rate * r.LoadFraction; part > 0 {
-		r.next = r.next.Add(time.Duration(float64(time.Second) / part))
+		r.nextReturn = r.nextReturn.Add(time.Duration(float64(time.Second) / part))
 	}
 	d = d/2 + time.Duration(rng.Float64()*float64(d))
 	least, most := uint32((r.Min+time.Second-1)/time.Second), uint32(r.Max/time.Second)
--- a/internal/spread/adopt_test.go
+++ b/internal/spread/adopt_test.go
@@ -12,21 +12,21 @@
 func TestAdoptedRunTime(t *testing.T) {
 	p := newPredictor()
 	for range 20 {
-		p.learn(1, 10*time.Millisecond, Short, Success)
+		p.record(1, 10*time.Millisecond, Short, Success)
 	}
-	mid, total := p.mid, p.total
-	p.adopt(1, time.Second)
-	p.adopt(2, time.Second)
-	p.adopt(3, 0)
-	p.adopt(UntrackedKey, time.Second)
+	mid, total := p.median, p.samples
+	p.importRunTime(1, time.Second)
+	p.importRunTime(2, time.Second)
+	p.importRunTime(3, 0)
+	p.importRunTime(UntrackedKey, time.Second)
 	assert.Equal(t, p.classify(1), Short)
 	assert.Equal(t, p.classify(2), Long)
 	assert.Equal(t, p.classify(3), Short)
 	assert.Equal(t, p.classify(UntrackedKey), Short)
-	assert.Equal(t, p.mid, mid)
-	assert.Equal(t, p.total, total)
+	assert.Equal(t, p.median, mid)
+	assert.Equal(t, p.samples, total)
 	for range 20 { // own run times correct the adopted one
-		p.learn(2, 10*time.Millisecond, Short, Success)
+		p.record(2, 10*time.Millisecond, Short, Success)
 	}
 	assert.Equal(t, p.classify(2), Short)
 }
--- a/internal/spread/assign.go
+++ b/internal/spread/assign.go
@@ -24,14 +24,14 @@
 }
 
 // slotsOf returns how many slots the n-th owner of a target has.
-func slotsOf(slots, n int) int { return (slots + 1 - n) / 2 }
+func ownerSlots(slots, n int) int { return (slots + 1 - n) / 2 }
 
 // owned returns how many slots of the target id owns.
-func (p *placement) owned(id ids.Instance) int {
+func (p *placement) ownedBy(id ids.Instance) int {
 	n := 0
 	for i, owner := range p.owner {
 		if owner == id && id != "" {
-			n += slotsOf(p.slots, i)
+			n += ownerSlots(p.slots, i)
 		}
 	}
 	return n
@@ -49,39 +49,39 @@
 // targets find room at a single instance, and some instance ends above the
 // limit (counts of 7, 7, 6, 6 and 4 were seen).
 type assignment struct {
-	targets []placement // in order of key
-	limit   int
-	total   int // slots
+	targets    []placement // in order of key
+	maxOwned   int
+	totalSlots int // slots
 	// forced tells that a slot had to go to an instance at its limit, so that
 	// any change of the instances may change the result.
-	forced bool
-	count  map[ids.Instance]int
+	forced     bool
+	ownedSlots map[ids.Instance]int
 }
 
 // limitFor returns the greatest number of slots that one of n instances owns.
-func (a *assignment) limitFor(n int) int {
+func (a *assignment) maxOwnedFor(n int) int {
 	most := 1
 	for i := range a.targets {
-		most = max(most, slotsOf(a.targets[i].slots, 0))
+		most = max(most, ownerSlots(a.targets[i].slots, 0))
 	}
-	return max(most, (a.total+n-1)/max(n, 1))
+	return max(most, (a.totalSlots+n-1)/max(n, 1))
 }
 
 // assign computes the ownership from scratch in O(targets × instances).
 func (a *assignment) assign(instances []instance) {
-	a.total = 0
+	a.totalSlots = 0
 	for i := range a.targets {
-		a.total += a.targets[i].slots
+		a.totalSlots += a.targets[i].slots
 	}
-	a.limit = a.limitFor(len(instances))
+	a.maxOwned = a.maxOwnedFor(len(instances))
 	a.forced = false
-	slack, least := a.slack(len(instances)), a.total/max(len(instances), 1)
+	slack, least := a.spareCapacity(len(instances)), a.totalSlots/max(len(instances), 1)
 	after := 0 // slots that one instance could get of the targets not yet placed
 	for i := range a.targets {
-		after += slotsOf(a.targets[i].slots, 0)
+		after += ownerSlots(a.targets[i].slots, 0)
 	}
-	left, missing := a.total, least*len(instances) // slots not yet placed, and needed to give least to all
-	a.count = make(map[ids.Instance]int)
+	left, missing := a.totalSlots, least*len(instances) // slots not yet placed, and needed to give least to all
+	a.ownedSlots = make(map[ids.Instance]int)
 	used := make([]int, len(instances))
 	for i := range a.targets {
 		t := &a.targets[i]
@@ -89,57 +89,57 @@
 		if len(instances) == 0 {
 			continue
 		}
-		after -= slotsOf(t.slots, 0)
-		due, wanting := max(a.limit-slack, least)-after, 0
+		after -= ownerSlots(t.slots, 0)
+		due, wanting := max(a.maxOwned-slack, least)-after, 0
 		if missing >= left {
 			wanting = least
 		}
-		first, second := a.pick(t, instances, used, due, wanting)
+		first, second := a.pickOwners(t, instances, used, due, wanting)
 		if first < 0 {
-			first = a.spill(instances, used, -1)
+			first = a.leastLoaded(instances, used, -1)
 		}
 		left -= t.slots
-		missing -= a.give(t, 0, first, instances, used, least)
-		if slotsOf(t.slots, 1) == 0 {
+		missing -= a.assignOwner(t, 0, first, instances, used, least)
+		if ownerSlots(t.slots, 1) == 0 {
 			continue
 		}
 		if len(instances) == 1 {
 			second = first
 		} else if second < 0 || second == first {
-			second = a.spill(instances, used, first)
+			second = a.leastLoaded(instances, used, first)
 		}
-		missing -= a.give(t, 1, second, instances, used, least)
+		missing -= a.assignOwner(t, 1, second, instances, used, least)
 	}
 }
 
 // give makes instance i the n-th owner of t. It returns how many slots of these
 // the instance needed to reach least.
-func (a *assignment) give(t *placement, n, i int, instances []instance, used []int, least int) int {
+func (a *assignment) assignOwner(t *placement, n, i int, instances []instance, used []int, least int) int {
 	t.owner[n] = instances[i].id
-	t.weight[n] = rank(instances[i].hash, t.key)
-	needed := min(max(least-used[i], 0), slotsOf(t.slots, n))
-	used[i] += slotsOf(t.slots, n)
-	a.count[t.owner[n]] = used[i]
+	t.weight[n] = rendezvousWeight(instances[i].hash, t.key)
+	needed := min(max(least-used[i], 0), ownerSlots(t.slots, n))
+	used[i] += ownerSlots(t.slots, n)
+	a.ownedSlots[t.owner[n]] = used[i]
 	return needed
 }
 
 // slack returns how many slots more than there are n instances could own.
-func (a *assignment) slack(n int) int { return a.limitFor(n)*n - a.total }
+func (a *assignment) spareCapacity(n int) int { return a.maxOwnedFor(n)*n - a.totalSlots }
 
 // rank returns the rendezvous weight of an instance for a target. Its two
 // highest bits are 0.
-func rank(instance, target uint64) uint64 { return ids.Mix(instance, target) >> 2 }
+func rendezvousWeight(instance, target uint64) uint64 { return ids.Mix(instance, target) >> 2 }
 
 // pick returns the two highest ranked instances that are below the limit, -1
 // for one that does not exist. Both are given room for the part of the first
 // owner, which is the larger one. Instances with fewer than due slots rank
 // before those with fewer than wanting, and these before all others.
-func (a *assignment) pick(t *placement, instances []instance, used []int, due, wanting int) (first, second int) {
+func (a *assignment) pickOwners(t *placement, instances []instance, used []int, due, wanting int) (first, second int) {
 	first, second = -1, -1
 	var firstWeight, secondWeight uint64
-	room := a.limit - slotsOf(t.slots, 0)
+	room := a.maxOwned - ownerSlots(t.slots, 0)
 	for i := range instances {
-		w := rank(instances[i].hash, t.key)
+		w := rendezvousWeight(instances[i].hash, t.key)
 		if used[i] < due {
 			w |= 1 << 63
 			a.forced = true
@@ -161,7 +161,7 @@
 }
 
 // spill returns the instance other than not with the fewest slots.
-func (a *assignment) spill(instances []instance, used []int, not int) int {
+func (a *assignment) leastLoaded(instances []instance, used []int, not int) int {
 	a.forced = true
 	least := -1
 	for i := range instances {
@@ -177,20 +177,20 @@
 // is ever due.
 // An instance that owns no slot was never considered, and one that ranks below
 // both owners of every target would not be.
-func (a *assignment) affected(n int, joined, left []instance) bool {
-	if a.forced || a.limitFor(n) != a.limit || a.slack(n) < a.limit || a.total >= n {
+func (a *assignment) affectedBy(n int, joined, left []instance) bool {
+	if a.forced || a.maxOwnedFor(n) != a.maxOwned || a.spareCapacity(n) < a.maxOwned || a.totalSlots >= n {
 		return true
 	}
 	for _, l := range left {
-		if a.count[l.id] > 0 {
+		if a.ownedSlots[l.id] > 0 {
 			return true
 		}
 	}
 	for _, j := range joined {
 		for i := range a.targets {
 			t := &a.targets[i]
-			w := rank(j.hash, t.key)
-			if w > t.weight[0] || slotsOf(t.slots, 1) > 0 && w > t.weight[1] || t.owner[0] == t.owner[1] {
+			w := rendezvousWeight(j.hash, t.key)
+			if w > t.weight[0] || ownerSlots(t.slots, 1) > 0 && w > t.weight[1] || t.owner[0] == t.owner[1] {
 				return true
 			}
 		}
@@ -210,7 +210,7 @@
 	// with fewer has a proportional part. A node per slot moved 10% of the flows
 	// of the surviving instances when one of 5 left, because these took over
 	// its slots and so got new nodes.
-	homeNodes = 4
+	maxVirtualNodes = 4
 	// homeWindow bounds the cost of Home at 29,000 targets: a flow ranks the
 	// nodes of one window on a hash ring. Up to this number all are ranked.
 	homeWindow = 64
@@ -218,13 +218,13 @@
 
 // homes is the choice of homes of one service by rendezvous hashing, weighted
 // by owned slots.
-type homes struct{ nodes []virtualNode }
+type homeSelector struct{ nodes []virtualNode }
 
-func (h *homes) build(a *assignment) {
+func (h *homeSelector) build(a *assignment) {
 	h.nodes = h.nodes[:0]
-	for id, n := range a.count {
+	for id, n := range a.ownedSlots {
 		base := ids.Hash(string(id))
-		for k := range max(1, (n*homeNodes+a.limit/2)/a.limit) {
+		for k := range max(1, (n*maxVirtualNodes+a.maxOwned/2)/a.maxOwned) {
 			h.nodes = append(h.nodes, virtualNode{ids.Mix(base, uint64(k)), id})
 		}
 	}
@@ -234,7 +234,7 @@
 }
 
 // pick returns the owner of the highest ranked node of the flow's window.
-func (h *homes) pick(flow uint64) (ids.Instance, bool) {
+func (h *homeSelector) pick(flow uint64) (ids.Instance, bool) {
 	n := len(h.nodes)
 	if n == 0 {
 		return "", false
--- a/internal/spread/assign_test.go
+++ b/internal/spread/assign_test.go
@@ -9,10 +9,10 @@
 	"pgregory.net/rapid"
 )
 
-func table(instances []ids.Instance, targets int) *Table {
+func newTestTable(instances []ids.Instance, targets int) *Table {
 	t := NewTable("", dc, 1)
-	t.SetInstances(start, instances)
-	t.SetService(start, resolved("s", targets))
+	t.SetInstances(startTime, instances)
+	t.SetService(startTime, testService("s", targets))
 	return t
 }
 
@@ -20,10 +20,10 @@
 // than their part of the slots.
 func TestAssignDistinctAndEven(t *testing.T) {
 	for _, c := range []struct{ instances, targets int }{{2, 1}, {2, 15}, {3, 15}, {4, 15}, {5, 4}, {5, 15}, {6, 15}, {7, 100}, {50, 100}} {
-		tab := table(names(c.instances), 0)
+		tab := newTestTable(instanceNames(c.instances), 0)
 		for name := range 20 {
 			s := ids.Service(fmt.Sprint(name))
-			tab.SetService(start, resolved(s, c.targets))
+			tab.SetService(startTime, testService(s, c.targets))
 			checkEven(t, tab.services[s], c.instances)
 		}
 	}
@@ -36,9 +36,9 @@
 		total += p.slots
 	}
 	if total >= instances {
-		assert.Equal(t, len(s.count), instances, "an instance owns no slot")
+		assert.Equal(t, len(s.ownedSlots), instances, "an instance owns no slot")
 	}
-	for id, n := range s.count {
+	for id, n := range s.ownedSlots {
 		assert.Assert(t, n >= total/instances, "%s owns %d of %d slots, %d instances", id, n, total, instances)
 		assert.Assert(t, n <= (total+instances-1)/instances, "%s owns %d of %d slots, %d instances", id, n, total, instances)
 	}
@@ -49,9 +49,9 @@
 // use the same slot, or none would.
 func TestAssignDependsOnSetsOnly(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		all := names(12)
+		all := instanceNames(12)
 		tab := NewTable("", dc, 1)
-		tab.SetService(start, resolved("s", rapid.IntRange(1, 20).Draw(r, "targets")))
+		tab.SetService(startTime, testService("s", rapid.IntRange(1, 20).Draw(r, "targets")))
 		for range rapid.IntRange(1, 8).Draw(r, "steps") {
 			var view []ids.Instance
 			for _, id := range all {
@@ -59,8 +59,8 @@
 					view = append(view, id)
 				}
 			}
-			tab.SetInstances(start, view)
-			fresh := table(view, len(tab.services["s"].assignment.targets))
+			tab.SetInstances(startTime, view)
+			fresh := newTestTable(view, len(tab.services["s"].assignment.targets))
 			for i, p := range tab.services["s"].assignment.targets {
 				assert.Equal(r, p.owner, fresh.services["s"].assignment.targets[i].owner)
 			}
@@ -77,7 +77,7 @@
 // instance, which would break their feeds for nothing.
 func TestHomeMovesFewFlows(t *testing.T) {
 	for _, targets := range []int{15, 400} {
-		before, after := table(names(5), targets), table(names(4), targets)
+		before, after := newTestTable(instanceNames(5), targets), newTestTable(instanceNames(4), targets)
 		moved, own, flows := 0, 0, 10000
 		for flow := range uint64(flows) {
 			a, _ := before.Home("s", ids.Mix(flow, 7))
@@ -96,12 +96,12 @@
 // Guards against a home without slots, and against homes of a service that is
 // unknown, removed or without instances.
 func TestHomeOwnsSlots(t *testing.T) {
-	tab := table(names(9), 3)
+	tab := newTestTable(instanceNames(9), 3)
 	for flow := range uint64(100) {
 		home, ok := tab.Home("s", ids.Mix(flow, 3))
 		assert.Assert(t, ok && tab.SlotShare("s", home) > 0)
 	}
-	tab.SetInstances(start, nil)
+	tab.SetInstances(startTime, nil)
 	_, ok := tab.Home("s", 1)
 	assert.Assert(t, !ok)
 	tab.RemoveService("s")
@@ -112,11 +112,11 @@
 // Guards against targets of other data centres and against names that occur
 // twice being owned.
 func TestServiceFiltersTargets(t *testing.T) {
-	r := resolved("s", 3)
+	r := testService("s", 3)
 	r.Service.Targets[1].DataCentre = "elsewhere"
 	r.Service.Targets[2].Name = r.Service.Targets[0].Name
 	tab := NewTable("instance-000", dc, 1)
-	tab.SetInstances(start, names(1))
-	tab.SetService(start, r)
+	tab.SetInstances(startTime, instanceNames(1))
+	tab.SetService(startTime, r)
 	assert.Equal(t, tab.Pool("s").Capacity(), 2)
 }
--- a/internal/spread/bench_test.go
+++ b/internal/spread/bench_test.go
@@ -13,7 +13,7 @@
 func BenchmarkHome(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
-			tab := table(names(5), n)
+			tab := newTestTable(instanceNames(5), n)
 			b.ReportAllocs()
 			for i := uint64(0); b.Loop(); i++ {
 				tab.Home("s", ids.Mix(i, 1))
@@ -55,15 +55,15 @@
 func BenchmarkSetInstances(b *testing.B) {
 	for _, services := range []int{1, 1450} {
 		b.Run(fmt.Sprintf("services=%d", services), func(b *testing.B) {
-			all := names(500)
+			all := instanceNames(500)
 			tab := NewTable(all[0], dc, 1)
-			tab.SetInstances(start, all)
+			tab.SetInstances(startTime, all)
 			for i := range services {
-				tab.SetService(start, resolved(ids.Service(fmt.Sprint("s", i)), 5800/services))
+				tab.SetService(startTime, testService(ids.Service(fmt.Sprint("s", i)), 5800/services))
 			}
 			for b.Loop() {
-				tab.SetInstances(start, all[:499])
-				tab.SetInstances(start, all)
+				tab.SetInstances(startTime, all[:499])
+				tab.SetInstances(startTime, all)
 			}
 		})
 	}
--- a/internal/spread/feed.go
+++ b/internal/spread/feed.go
@@ -11,12 +11,12 @@
 // leaving, suspected or holds as many feeds as the profile allows.
 func (p *Pool) OpenFeed(now ids.Time, avoid ids.Target) (name ids.Target, endpoint ids.Endpoint, ok bool) {
 	p.now = now
-	best := p.feedTarget(avoid, min(len(p.targets), feedSample))
+	best := p.pickFeedTarget(avoid, min(len(p.targets), feedSample))
 	if best == nil && len(p.targets) > feedSample {
-		best = p.feedTarget(avoid, len(p.targets))
+		best = p.pickFeedTarget(avoid, len(p.targets))
 	}
 	if best == nil && avoid != "" {
-		best = p.feedTarget("", len(p.targets))
+		best = p.pickFeedTarget("", len(p.targets))
 	}
 	if best == nil {
 		return "", ids.Endpoint{}, false
@@ -27,19 +27,19 @@
 }
 
 // feedTarget compares n targets.
-func (p *Pool) feedTarget(avoid ids.Target, n int) *target {
+func (p *Pool) pickFeedTarget(avoid ids.Target, n int) *target {
 	if len(p.targets) == 0 {
 		return nil
 	}
-	p.feedStart = (p.feedStart + n) % len(p.targets)
+	p.feedOffset = (p.feedOffset + n) % len(p.targets)
 	if n == len(p.targets) {
-		p.feedStart = (p.feedStart + 1) % n
+		p.feedOffset = (p.feedOffset + 1) % n
 	}
 	var best *target
 	bestLoad := 0.0
 	for k := range n {
-		t := p.targets[(p.feedStart+k)%len(p.targets)]
-		if t == nil || t.owned == 0 || t.leaving() || t.name == avoid || t.unproven || t.suspected() && !p.panicking {
+		t := p.targets[(p.feedOffset+k)%len(p.targets)]
+		if t == nil || t.owned == 0 || t.drainingOrGone() || t.name == avoid || t.unverified || t.suspected() && !p.panicMode {
 			continue
 		}
 		if p.maxFeeds > 0 && t.feeds >= p.feedLimit(t) {
@@ -49,7 +49,7 @@
 		if t.usable == 0 {
 			// Starting or pausing: take it for as full as the others, so that
 			// it is not given every new feed at once.
-			load = max(load, float64(p.feeds)/float64(max(p.owned, 1)))
+			load = max(load, float64(p.feeds)/float64(max(p.panicTotal, 1)))
 		}
 		if best == nil || load < bestLoad {
 			best, bestLoad = t, load
@@ -76,7 +76,7 @@
 		p.feeds--
 	}
 	if o == Timeout || o == Failure {
-		p.failed(p.now, i, &run{class: Short}, o)
+		p.recordFailure(p.now, i, &activeRequest{class: Short}, o)
 	}
-	p.reap(i)
+	p.freeIfUnused(i)
 }
--- a/internal/spread/firstcheck_test.go
+++ b/internal/spread/firstcheck_test.go
@@ -14,12 +14,12 @@
 func TestNewOwnerChecksFirst(t *testing.T) {
 	f := newFixture(2)
 	f.SetInstances(f.now, nil)
-	f.SetInstances(f.now, names(1))
+	f.SetInstances(f.now, instanceNames(1))
 	f.pool = f.Pool("s")
 	_, ok := f.pool.Acquire(f.now, Short, "")
 	assert.Assert(t, !ok, "used before the first check")
 	f.advance(10 * time.Millisecond)
-	assert.DeepEqual(t, f.due, map[ids.Target]int{"t00000": 1, "t00001": 1})
+	assert.DeepEqual(t, f.checksDue, map[ids.Target]int{"t00000": 1, "t00001": 1})
 	f.pool.RecordCheck(f.now, CheckResult{Target: "t00000", Healthy: true, Draining: true})
 	f.pool.RecordCheck(f.now, CheckResult{Target: "t00001", Healthy: true})
 	assert.Equal(t, f.pool.Capacity(), 2)
@@ -32,7 +32,7 @@
 func TestFirstCheckWaitIsBounded(t *testing.T) {
 	f := newFixture(1)
 	f.SetInstances(f.now, nil)
-	f.SetInstances(f.now, names(1))
+	f.SetInstances(f.now, instanceNames(1))
 	f.pool = f.Pool("s")
 	f.advance(firstCheckWait + 10*time.Millisecond)
 	assert.Equal(t, f.pool.Free(Short), 2)
--- a/internal/spread/fixture_test.go
+++ b/internal/spread/fixture_test.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	dc    = ids.DataCentre("dc1")
-	start = ids.Time(1_000_000 * int64(time.Second))
-	ms    = ids.Time(time.Millisecond)
+	dc        = ids.DataCentre("dc1")
+	startTime = ids.Time(1_000_000 * int64(time.Second))
+	ms        = ids.Time(time.Millisecond)
 )
 
-func names(n int) []ids.Instance {
+func instanceNames(n int) []ids.Instance {
 	list := make([]ids.Instance, n)
 	for i := range list {
 		list[i] = ids.Instance(fmt.Sprintf("instance-%03d", i))
@@ -23,7 +23,7 @@
 	return list
 }
 
-func resolved(name ids.Service, targets int) *config.Resolved {
+func testService(name ids.Service, targets int) *config.Resolved {
 	r := &config.Resolved{
 		Service: config.Service{Name: name},
 		Profile: config.Profile{
@@ -44,15 +44,15 @@
 // fixture drives the table of a single instance, which owns every slot.
 type fixture struct {
 	*Table
-	r    *config.Resolved
-	now  ids.Time
-	due  map[ids.Target]int
-	pool *Pool
+	r         *config.Resolved
+	now       ids.Time
+	checksDue map[ids.Target]int
+	pool      *Pool
 }
 
 func newFixture(targets int) *fixture {
-	f := &fixture{Table: NewTable("instance-000", dc, 1), r: resolved("s", targets), now: start, due: map[ids.Target]int{}}
-	f.SetInstances(f.now, names(1))
+	f := &fixture{Table: NewTable("instance-000", dc, 1), r: testService("s", targets), now: startTime, checksDue: map[ids.Target]int{}}
+	f.SetInstances(f.now, instanceNames(1))
 	f.SetService(f.now, f.r)
 	f.pool = f.Pool("s")
 	f.passFirstChecks()
@@ -70,7 +70,7 @@
 func (f *fixture) advance(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.now = f.now.Add(10 * time.Millisecond)
-		f.Tick(f.now, func(_ ids.Service, t ids.Target, _ string) { f.due[t]++ })
+		f.Tick(f.now, func(_ ids.Service, t ids.Target, _ string) { f.checksDue[t]++ })
 	}
 }
 
@@ -96,7 +96,7 @@
 }
 
 // fail makes requests fail on target t until it is suspected.
-func (f *fixture) fail(t ids.Target) {
+func (f *fixture) failUntilSuspected(t ids.Target) {
 	for range failuresToSuspect {
 		l, _ := f.pool.AcquireTarget(f.now, t)
 		f.now = f.now.Add(time.Millisecond)
--- a/internal/spread/health.go
+++ b/internal/spread/health.go
@@ -12,56 +12,56 @@
 // outcome takes the result of a request into account. Requests carry more
 // weight than checks: a success clears suspicion and outdates failed checks,
 // and suspicion that came from requests is cleared by a request only.
-func (p *Pool) outcome(now ids.Time, i int32, e *run, o Outcome) {
+func (p *Pool) recordOutcome(now ids.Time, i int32, e *activeRequest, o Outcome) {
 	t := p.targets[i]
 	switch o {
 	case Success:
-		t.failures, t.sheds = 0, 0
+		t.consecutiveFailures, t.consecutiveSheds = 0, 0
 		t.failedChecks = 0
 		t.lastSuccess = now
 		// A response to a request from before the suspicion is no evidence
 		// against later failures.
-		if t.suspected() && (!t.fromRequests || !e.start.Before(t.suspectedAt)) {
-			p.clear(now, i, t.fromRequests)
+		if t.suspected() && (!t.suspectedByRequests || !e.start.Before(t.suspectedAt)) {
+			p.clearSuspicion(now, i, t.suspectedByRequests)
 		}
 	case Shed:
 		// Alive but full: the other owner or an instance with another
 		// membership list uses the slot.
-		t.failures = 0
-		t.sheds++
-		t.heldUntil = now.Add(shedPause(t.sheds))
+		t.consecutiveFailures = 0
+		t.consecutiveSheds++
+		t.pausedUntil = now.Add(shedPause(t.consecutiveSheds))
 		if e.probe {
-			p.postpone(now, t)
+			p.scheduleProbe(now, t)
 		}
 	case Timeout, Failure:
-		p.failed(now, i, e, o)
+		p.recordFailure(now, i, e, o)
 	case Cancelled:
 	}
 }
 
 // failed counts a failed request. A timeout of a long request is no evidence
 // by itself, since its deadline may have been too short for it.
-func (p *Pool) failed(now ids.Time, i int32, e *run, o Outcome) {
+func (p *Pool) recordFailure(now ids.Time, i int32, e *activeRequest, o Outcome) {
 	t := p.targets[i]
-	if o == Timeout && e.class == Long && !e.observed && t.failedChecks == 0 {
+	if o == Timeout && e.class == Long && !e.overThreshold && t.failedChecks == 0 {
 		return
 	}
-	t.failures++
+	t.consecutiveFailures++
 	if t.suspected() {
-		t.fromRequests = true
+		t.suspectedByRequests = true
 		if e.probe {
 			t.backOff = min(2*t.backOff, maxBackOff)
-			p.postpone(now, t)
+			p.scheduleProbe(now, t)
 		}
 		return
 	}
-	if t.failures >= failuresToSuspect || t.failedChecks > 0 {
-		p.suspectTarget(now, i, true)
+	if t.consecutiveFailures >= failuresToSuspect || t.failedChecks > 0 {
+		p.markSuspected(now, i, true)
 	}
 }
 
 // postpone sets the time of the next probe request.
-func (p *Pool) postpone(now ids.Time, t *target) {
+func (p *Pool) scheduleProbe(now ids.Time, t *target) {
 	wait := t.backOff
 	if t.failedChecks > 0 {
 		wait = max(wait, failedCheckBackOff)
@@ -70,45 +70,45 @@
 }
 
 // suspectTarget stops the use of a target until a probe has succeeded.
-func (p *Pool) suspectTarget(now ids.Time, i int32, fromRequests bool) {
+func (p *Pool) markSuspected(now ids.Time, i int32, fromRequests bool) {
 	t := p.targets[i]
-	t.trust.Fire(chart.SuspicionSilent)
-	t.fromRequests = fromRequests
+	t.suspicion.Fire(chart.SuspicionSilent)
+	t.suspectedByRequests = fromRequests
 	t.suspectedAt = now
 	t.backOff = minBackOff
-	p.postpone(now, t)
-	p.trustChanged(now, i, +1)
+	p.scheduleProbe(now, t)
+	p.suspicionChanged(now, i, +1)
 }
 
 // clear ends suspicion. A target that has recovered starts slowly.
-func (p *Pool) clear(now ids.Time, i int32, slowly bool) {
+func (p *Pool) clearSuspicion(now ids.Time, i int32, slowly bool) {
 	t := p.targets[i]
-	t.trust.Fire(chart.SuspicionRefute)
-	t.failures, t.failedChecks = 0, 0
-	if t.unproven {
-		t.unproven = false
+	t.suspicion.Fire(chart.SuspicionRefute)
+	t.consecutiveFailures, t.failedChecks = 0, 0
+	if t.unverified {
+		t.unverified = false
 		t.slowUntil = now.Add(p.spread.SlowStart)
-		if t.counted() {
-			p.owned++
-			p.suspect++ // taken off by trustChanged
+		if t.countsForPanic() {
+			p.panicTotal++
+			p.panicSuspected++ // taken off by trustChanged
 		}
 	}
 	// A draining target stays so: restart would withdraw the drain.
-	if slowly && p.spread.SlowStart > 0 && t.life.State() == chart.BackendServing {
-		if _, ok := t.life.Fire(chart.BackendRestart); ok {
+	if slowly && p.spread.SlowStart > 0 && t.lifecycle.State() == chart.BackendServing {
+		if _, ok := t.lifecycle.Fire(chart.BackendRestart); ok {
 			t.slowUntil = now.Add(p.spread.SlowStart)
 		}
 	}
-	p.trustChanged(now, i, -1)
+	p.suspicionChanged(now, i, -1)
 }
 
 // trustChanged updates the panic state after target i changed its suspicion.
-func (p *Pool) trustChanged(now ids.Time, i int32, change int) {
+func (p *Pool) suspicionChanged(now ids.Time, i int32, change int) {
 	t := p.targets[i]
-	if t.counted() {
-		p.suspect += change
+	if t.countsForPanic() {
+		p.panicSuspected += change
 	}
-	if p.setPanic() {
+	if p.updatePanicMode() {
 		for k := range p.targets {
 			if p.targets[k] != nil {
 				p.refresh(now, int32(k))
@@ -131,17 +131,17 @@
 	previous := t.lastCheck
 	t.lastCheck = now
 	defer func() { // after a drain has been noted
-		if t.uncheckedUntil != 0 {
-			t.uncheckedUntil = 0
+		if t.firstCheckDeadline != 0 {
+			t.firstCheckDeadline = 0
 			p.refresh(now, i)
 		}
 	}()
-	drains := t.life.State() == chart.BackendDraining
+	drains := t.lifecycle.State() == chart.BackendDraining
 	switch {
 	case h.Draining && !drains:
-		t.life.Fire(chart.BackendDrain)
+		t.lifecycle.Fire(chart.BackendDrain)
 		p.recount(now)
-	case !h.Draining && h.Healthy && drains && !t.configDrains:
+	case !h.Draining && h.Healthy && drains && !t.configDraining:
 		p.restart(now, t)
 		p.recount(now)
 	}
@@ -158,8 +158,8 @@
 	t.failedChecks = 0
 	switch {
 	case !t.suspected():
-	case !t.fromRequests:
-		p.clear(now, i, recovered)
+	case !t.suspectedByRequests:
+		p.clearSuspicion(now, i, recovered)
 	case recovered:
 		// The check has changed from failed to passed, so a probe request has
 		// better prospects than the back-off assumes. A check that passes all
@@ -175,63 +175,63 @@
 // long ago and none has been sent since.
 func (p *Pool) checkFailed(now ids.Time, i int32, previous ids.Time) {
 	t := p.targets[i]
-	if t.lastSuccess > 0 && t.failures == 0 {
+	if t.lastSuccess > 0 && t.consecutiveFailures == 0 {
 		if t.lastSuccess >= previous {
 			return
 		}
-		if t.lastDispatch <= t.lastSuccess && now.Sub(t.lastSuccess) < successTrusted {
+		if t.lastDispatch <= t.lastSuccess && now.Sub(t.lastSuccess) < successEvidenceAge {
 			return
 		}
 	}
 	t.failedChecks++
-	if !t.suspected() && (t.failedChecks >= checksToSuspect || t.failures > 0) {
-		p.suspectTarget(now, i, false)
+	if !t.suspected() && (t.failedChecks >= checksToSuspect || t.consecutiveFailures > 0) {
+		p.markSuspected(now, i, false)
 	}
 }
 
 // setDraining applies the drain flag of the configuration.
 func (p *Pool) setDraining(now ids.Time, t *target, draining bool) {
-	was := t.configDrains
-	t.configDrains = draining
+	was := t.configDraining
+	t.configDraining = draining
 	if draining {
-		t.life.Fire(chart.BackendDrain)
-	} else if was && t.life.State() == chart.BackendDraining {
+		t.lifecycle.Fire(chart.BackendDrain)
+	} else if was && t.lifecycle.State() == chart.BackendDraining {
 		p.restart(now, t)
 	}
 }
 
 // restart begins the slow start of a target that was drained.
 func (p *Pool) restart(now ids.Time, t *target) {
-	if _, ok := t.life.Fire(chart.BackendRestart); ok {
+	if _, ok := t.lifecycle.Fire(chart.BackendRestart); ok {
 		t.slowUntil = now.Add(p.spread.SlowStart)
 	}
 }
 
 // expire ends the slow start of a target.
-func (p *Pool) expire(now ids.Time, t *target) {
-	if t.life.State() == chart.BackendStarting && !now.Before(t.slowUntil) {
-		t.life.Fire(chart.BackendReady)
+func (p *Pool) endSlowStart(now ids.Time, t *target) {
+	if t.lifecycle.State() == chart.BackendStarting && !now.Before(t.slowUntil) {
+		t.lifecycle.Fire(chart.BackendReady)
 	}
 }
 
 // checks calls due for each health check whose time has come: new targets at
 // once, the others in the order of their phases. All have the same interval,
 // so the first one that is not due ends the search.
-func (p *Pool) checks(now ids.Time, due func(s ids.Service, target ids.Target, url string)) {
-	for _, i := range p.fresh {
+func (p *Pool) dispatchChecks(now ids.Time, due func(s ids.Service, target ids.Target, url string)) {
+	for _, i := range p.checkNow {
 		if t := p.targets[i]; t != nil && t.url != "" && t.owned > 0 {
 			due(p.service, t.name, t.url)
 		}
 	}
-	p.fresh = p.fresh[:0]
-	for range p.order {
-		i := p.order[p.cursor]
+	p.checkNow = p.checkNow[:0]
+	for range p.checkOrder {
+		i := p.checkOrder[p.checkCursor]
 		t := p.targets[i]
 		if now.Before(t.nextCheck) {
 			return
 		}
 		t.nextCheck = p.nextPhase(now, i)
-		p.cursor = (p.cursor + 1) % len(p.order)
+		p.checkCursor = (p.checkCursor + 1) % len(p.checkOrder)
 		due(p.service, t.name, t.url)
 	}
 }
@@ -239,13 +239,13 @@
 // sortChecks orders the targets with a health endpoint by phase, beginning
 // with the one that is due next.
 func (p *Pool) sortChecks() {
-	slices.SortFunc(p.order, func(a, b int32) int {
+	slices.SortFunc(p.checkOrder, func(a, b int32) int {
 		return cmp.Or(cmp.Compare(p.phase(a), p.phase(b)), cmp.Compare(p.targets[a].name, p.targets[b].name))
 	})
-	p.cursor = 0
-	for k, i := range p.order {
-		if p.targets[i].nextCheck < p.targets[p.order[p.cursor]].nextCheck {
-			p.cursor = k
+	p.checkCursor = 0
+	for k, i := range p.checkOrder {
+		if p.targets[i].nextCheck < p.targets[p.checkOrder[p.checkCursor]].nextCheck {
+			p.checkCursor = k
 		}
 	}
 }
--- a/internal/spread/health_test.go
+++ b/internal/spread/health_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func (f *fixture) check(t ids.Target, healthy bool) {
+func (f *fixture) recordCheck(t ids.Target, healthy bool) {
 	f.pool.RecordCheck(f.now, CheckResult{Target: t, Healthy: healthy})
 }
 
@@ -16,7 +16,7 @@
 // several probe requests at a time or without a growing back-off.
 func TestSuspectedTargetIsProbed(t *testing.T) {
 	f := newFixture(4)
-	f.fail("t00001")
+	f.failUntilSuspected("t00001")
 	assert.Equal(t, f.state("t00001").Suspicion, "suspected")
 	assert.Equal(t, f.pool.Capacity(), 6)
 	for _, wait := range []time.Duration{500 * time.Millisecond, time.Second, 2 * time.Second} {
@@ -34,7 +34,7 @@
 // Guards against a recovered target that gets its full load at once.
 func TestRecoveredTargetStartsSlowly(t *testing.T) {
 	f := newFixture(4)
-	f.fail("t00001")
+	f.failUntilSuspected("t00001")
 	f.advance(600 * time.Millisecond)
 	f.request(1, 5*time.Millisecond, Success)
 	s := f.state("t00001")
@@ -48,8 +48,8 @@
 func TestRequestsOverrideChecks(t *testing.T) {
 	f := newFixture(4)
 	for range 20 {
-		f.check("t00001", false)
-		f.check("t00002", true)
+		f.recordCheck("t00001", false)
+		f.recordCheck("t00002", true)
 		for range 8 {
 			name, ok := f.request(1, 5*time.Millisecond, Success)
 			assert.Assert(t, ok && name != "")
@@ -57,8 +57,8 @@
 		f.advance(time.Second)
 	}
 	assert.Equal(t, f.state("t00001").Suspicion, "trusted")
-	f.fail("t00002")
-	f.check("t00002", true)
+	f.failUntilSuspected("t00002")
+	f.recordCheck("t00002", true)
 	assert.Equal(t, f.state("t00002").Suspicion, "suspected")
 }
 
@@ -66,16 +66,16 @@
 // checks suffice while requests do not contradict them.
 func TestChecksSuspectWithoutRequests(t *testing.T) {
 	f := newFixture(4)
-	f.check("t00001", false)
+	f.recordCheck("t00001", false)
 	f.advance(time.Second)
-	f.check("t00001", false)
+	f.recordCheck("t00001", false)
 	assert.Equal(t, f.state("t00001").Suspicion, "suspected")
 	f.advance(time.Second)
-	f.check("t00001", true)
+	f.recordCheck("t00001", true)
 	assert.Equal(t, f.state("t00001").Suspicion, "trusted")
 
 	l, _ := f.pool.AcquireTarget(f.now, "t00002")
-	f.check("t00002", false)
+	f.recordCheck("t00002", false)
 	f.pool.Release(f.now, l, 1, Timeout)
 	assert.Equal(t, f.state("t00002").Suspicion, "suspected", "a failed check and a failed request")
 }
@@ -84,17 +84,17 @@
 // suspected, and against a pool of one dead target that keeps using it.
 func TestPanicThreshold(t *testing.T) {
 	f := newFixture(4)
-	f.fail("t00000")
-	f.fail("t00001")
+	f.failUntilSuspected("t00000")
+	f.failUntilSuspected("t00001")
 	assert.Equal(t, f.pool.Capacity(), 4)
-	f.fail("t00002")
+	f.failUntilSuspected("t00002")
 	assert.Equal(t, f.pool.Capacity(), 8)
 	l, _ := f.pool.AcquireTarget(f.now, "t00002")
 	f.pool.Release(f.now+ms, l, 1, Success)
 	assert.Equal(t, f.state("t00002").Suspicion, "trusted")
 	assert.Equal(t, f.pool.Capacity(), 3, "one slot of t00002 during slow start")
 	one := newFixture(1)
-	one.fail("t00000")
+	one.failUntilSuspected("t00000")
 	assert.Equal(t, one.pool.Capacity(), 0)
 }
 
@@ -103,13 +103,13 @@
 func TestNewTargetStartsSlowly(t *testing.T) {
 	f := newFixture(4)
 	f.advance(10 * time.Second)
-	f.r.Service.Targets = resolved("s", 6).Service.Targets
+	f.r.Service.Targets = testService("s", 6).Service.Targets
 	f.SetService(f.now, f.r)
-	f.due = map[ids.Target]int{}
+	f.checksDue = map[ids.Target]int{}
 	f.advance(10 * time.Millisecond)
-	assert.Equal(t, f.due["t00004"], 1, "checked at once")
+	assert.Equal(t, f.checksDue["t00004"], 1, "checked at once")
 	assert.Equal(t, f.pool.Capacity(), 8)
-	f.check("t00004", true)
+	f.recordCheck("t00004", true)
 	assert.Equal(t, f.pool.Capacity(), 9)
 	f.advance(2100 * time.Millisecond)
 	assert.Equal(t, f.pool.Capacity(), 10)
@@ -125,11 +125,11 @@
 	assert.Assert(t, f.pool.Capacity() == 2 && f.pool.OutOfService("t00000"))
 	_, ok := f.pool.AcquireTarget(f.now, "t00000")
 	assert.Assert(t, ok, "a follow-up block")
-	f.check("t00000", true)
+	f.recordCheck("t00000", true)
 	assert.Equal(t, f.state("t00000").Lifecycle, "starting")
 	f.r.Service.Targets[0].Draining = true
 	f.SetService(f.now, f.r)
-	f.check("t00000", true)
+	f.recordCheck("t00000", true)
 	assert.Equal(t, f.state("t00000").Lifecycle, "draining", "a check does not undo the configuration")
 	f.r.Service.Targets[0].Draining = false
 	f.SetService(f.now, f.r)
@@ -151,15 +151,15 @@
 func TestCheckSchedule(t *testing.T) {
 	f := newFixture(20)
 	f.advance(20 * time.Millisecond)
-	f.due = map[ids.Target]int{}
+	f.checksDue = map[ids.Target]int{}
 	most := 0
 	for range 1000 {
-		before := len(f.due)
+		before := len(f.checksDue)
 		f.advance(10 * time.Millisecond)
-		most = max(most, len(f.due)-before)
+		most = max(most, len(f.checksDue)-before)
 	}
-	assert.Equal(t, len(f.due), 20)
-	for name, n := range f.due {
+	assert.Equal(t, len(f.checksDue), 20)
+	for name, n := range f.checksDue {
 		assert.Equal(t, n, 10, name)
 	}
 	assert.Assert(t, most < 8, "%d new targets checked in one tick", most)
@@ -176,9 +176,9 @@
 		leases = append(leases, l)
 	}
 	f.now = f.now.Add(time.Millisecond)
-	f.check("t00001", false)
-	f.check("t00001", false)
-	f.check("t00001", false)
+	f.recordCheck("t00001", false)
+	f.recordCheck("t00001", false)
+	f.recordCheck("t00001", false)
 	assert.Equal(t, f.state("t00001").Suspicion, "suspected")
 	f.pool.RecordCheck(f.now, CheckResult{Target: "t00001", Draining: true})
 	for _, l := range leases {
--- a/internal/spread/lease.go
+++ b/internal/spread/lease.go
@@ -4,15 +4,15 @@
 
 // run is a request that holds a slot. Running requests are linked in order of
 // their start.
-type run struct {
-	target     int32
-	next, prev int32
-	gen        uint32
-	start      ids.Time
-	class      Class
-	probe      bool
-	active     bool
-	observed   bool // taken off the list because it has run long
+type activeRequest struct {
+	target        int32
+	next, prev    int32
+	gen           uint32
+	start         ids.Time
+	class         Class
+	probe         bool
+	active        bool
+	overThreshold bool // taken off the list because it has run long
 }
 
 // Acquire takes a free slot for a request of class c. avoid is a target that
@@ -21,16 +21,16 @@
 // as they may.
 func (p *Pool) Acquire(now ids.Time, c Class, avoid ids.Target) (l Lease, ok bool) {
 	p.now = now
-	if c == Long && p.longs >= p.LongLimit(p.usable) {
+	if c == Long && p.longRunning >= p.LongLimit(p.usable) {
 		return Lease{}, false
 	}
-	if c == Short && p.probes > 0 {
+	if c == Short && p.probesDue > 0 {
 		if i := p.probeTarget(now, avoid); i != none {
-			p.targets[i].probing = true
+			p.targets[i].probeInFlight = true
 			return p.start(now, i, c, true), true
 		}
 	}
-	i := p.pick(now, avoid)
+	i := p.pickTarget(now, avoid)
 	if i == none {
 		return Lease{}, false
 	}
@@ -39,16 +39,16 @@
 
 // pick returns the target to use next: of the targets that have been idle
 // longest the fastest one, other than avoid.
-func (p *Pool) pick(now ids.Time, avoid ids.Target) int32 {
+func (p *Pool) pickTarget(now ids.Time, avoid ids.Target) int32 {
 	best, bestScore := none, 0.0
-	i := p.head
+	i := p.freeHead
 	for k := range pickLimit {
 		if i == none {
 			break
 		}
 		t := p.targets[i]
 		score := t.slowness
-		if now.Sub(t.lastDispatch) > slownessAge {
+		if now.Sub(t.lastDispatch) > slownessExpiry {
 			score = min(score, 1)
 		}
 		score += float64(k) * idleWeight
@@ -57,8 +57,8 @@
 		}
 		i = t.next
 	}
-	if best == none && p.head != none && p.usable == p.targets[p.head].usable {
-		return p.head // there is no other usable target than avoid
+	if best == none && p.freeHead != none && p.usable == p.targets[p.freeHead].usable {
+		return p.freeHead // there is no other usable target than avoid
 	}
 	return best
 }
@@ -66,7 +66,7 @@
 // probeTarget returns a suspected target that is due for a probe request.
 func (p *Pool) probeTarget(now ids.Time, avoid ids.Target) int32 {
 	for i, t := range p.targets {
-		if t != nil && t.probeReady && t.canProbe(now) && t.name != avoid {
+		if t != nil && t.probeDue && t.canProbe(now) && t.name != avoid {
 			return int32(i)
 		}
 	}
@@ -88,79 +88,79 @@
 // start records a running request and moves its target to the end of the list
 // of free targets.
 func (p *Pool) start(now ids.Time, i int32, c Class, probe bool) Lease {
-	r := p.freeRun
+	r := p.freeRequest
 	if r == none {
-		p.runs = append(p.runs, run{next: none})
-		r = int32(len(p.runs) - 1)
+		p.requests = append(p.requests, activeRequest{next: none})
+		r = int32(len(p.requests) - 1)
 	} else {
-		p.freeRun = p.runs[r].next
+		p.freeRequest = p.requests[r].next
 	}
-	e := &p.runs[r]
-	*e = run{target: i, next: none, prev: p.newest, gen: e.gen + 1, start: now, class: c, probe: probe, active: true}
+	e := &p.requests[r]
+	*e = activeRequest{target: i, next: none, prev: p.newest, gen: e.gen + 1, start: now, class: c, probe: probe, active: true}
 	if p.newest != none {
-		p.runs[p.newest].next = r
+		p.requests[p.newest].next = r
 	} else {
 		p.oldest = r
 	}
 	p.newest = r
 	p.running++
 	if c == Long {
-		p.longs++
+		p.longRunning++
 	}
 	t := p.targets[i]
 	t.inUse++
 	t.lastDispatch = now
 	p.unlink(i)
 	p.refresh(now, i)
-	return Lease{Target: t.name, Endpoint: t.endpoint, run: r, gen: e.gen}
+	return Lease{Target: t.name, Endpoint: t.endpoint, request: r, gen: e.gen}
 }
 
 // Release frees the slot of l. key is the key given to Classify. A lease that
 // has been released already is ignored.
 func (p *Pool) Release(now ids.Time, l Lease, key uint64, o Outcome) {
 	p.now = now
-	if int(l.run) >= len(p.runs) {
+	if int(l.request) >= len(p.requests) {
 		return
 	}
-	e := &p.runs[l.run]
+	e := &p.requests[l.request]
 	if !e.active || e.gen != l.gen {
 		return
 	}
-	if !e.observed {
-		p.detach(l.run)
+	if !e.overThreshold {
+		p.unlinkRequest(l.request)
 	}
 	if e.class == Long {
-		p.longs--
+		p.longRunning--
 	}
 	p.running--
 	e.active = false
-	e.next = p.freeRun
-	p.freeRun = l.run
+	e.next = p.freeRequest
+	p.freeRequest = l.request
 
 	t := p.targets[e.target]
 	t.inUse--
 	if expected := p.predictor.expected(key); o == Success && expected > 0 {
 		t.slowness += (float64(now.Sub(e.start))/float64(expected) - t.slowness) / slownessWindow
 	}
-	p.predictor.learn(key, now.Sub(e.start), e.class, o)
+	p.predictor.record(key, now.Sub(e.start), e.class, o)
 	if e.probe {
-		t.probing = false
+		t.probeInFlight = false
 	}
-	p.outcome(now, e.target, e, o)
+	p.recordOutcome(now, e.target, e, o)
 	p.refresh(now, e.target)
-	p.reap(e.target)
+	p.freeIfUnused(e.target)
 }
 
 // detach takes a run off the list of running requests.
-func (p *Pool) detach(r int32) {
-	e := &p.runs[r]
+func (p *Pool) unlinkRequest(r int32) {
+	e := &p.requests[r]
 	if e.prev != none {
-		p.runs[e.prev].next = e.next
+		p.requests[e.prev].next = e.next
 	} else {
 		p.oldest = e.next
 	}
 	if e.next != none {
-		p.runs[e.next].prev = e.prev
+		p.requests[e.next].prev = e.prev
 	} else {
 		p.newest = e.prev
 	}
@@ -169,36 +169,36 @@
 
 // observe counts requests as long that were predicted short but have run as
 // long as a long one.
-func (p *Pool) observe(now ids.Time) {
-	threshold := p.predictor.threshold()
+func (p *Pool) reclassifyLong(now ids.Time) {
+	threshold := p.predictor.longThreshold()
 	if threshold == 0 {
 		return
 	}
 	for p.oldest != none {
-		e := &p.runs[p.oldest]
+		e := &p.requests[p.oldest]
 		if now.Sub(e.start) < threshold {
 			return
 		}
 		if e.class == Short {
 			e.class = Long
-			p.longs++
+			p.longRunning++
 		}
 		r := p.oldest
-		p.detach(r)
-		p.runs[r].observed = true
+		p.unlinkRequest(r)
+		p.requests[r].overThreshold = true
 	}
 }
 
 // tick advances the timers: slow start, pauses and probe back-off.
 func (p *Pool) tick(now ids.Time) {
 	p.now = now
-	p.observe(now)
+	p.reclassifyLong(now)
 	for k := 0; k < len(p.timers); {
 		i := p.timers[k]
 		t := p.targets[i]
 		p.refresh(now, i)
-		if !now.Before(t.timer()) {
-			t.timed = false
+		if !now.Before(t.timersEnd()) {
+			t.hasTimer = false
 			p.timers[k] = p.timers[len(p.timers)-1]
 			p.timers = p.timers[:len(p.timers)-1]
 			continue
--- a/internal/spread/pool.go
+++ b/internal/spread/pool.go
@@ -17,48 +17,48 @@
 // Pool holds the owned slots of one service with the health of their targets,
 // the run times of requests and the feeds placed on them.
 type Pool struct {
-	service ids.Service
-	seed    uint64
-	known   map[ids.Target]bool // targets of the service, owned or not; true when draining
-	byName  map[ids.Target]int32
-	targets []*target
-	unused  []int32 // entries of targets that may be reused
+	service     ids.Service
+	seed        uint64
+	draining    map[ids.Target]bool // targets of the service, owned or not; true when draining
+	byName      map[ids.Target]int32
+	targets     []*target
+	freeEntries []int32 // entries of targets that may be reused
 
 	spread   config.Spread
 	maxFeeds int
 
-	owned     int   // targets that count for the panic threshold
-	suspect   int   // suspected ones among them
-	usable    int   // usable owned slots
-	free      int   // free ones among them
-	unchecked int   // owned slots that wait for the first health check
-	probes    int   // suspected targets that are due for a probe request
-	head      int32 // targets with a free slot, longest idle first
-	tail      int32
-	panicking bool    // suspicion is ignored
-	timers    []int32 // targets with a running timer
-	order     []int32 // targets with a health endpoint, in order of check phase
-	cursor    int     // next in order
-	fresh     []int32 // new targets, to be checked at once
-
-	runs    []run
-	freeRun int32
-	running int
-	longs   int // long requests that hold a slot
-	oldest  int32
-	newest  int32
-
-	feeds     int
-	feedStart int // rotates the choice among equal targets
-	predictor predictor
-	now       ids.Time // of the last call that carried a time
+	panicTotal         int   // targets that count for the panic threshold
+	panicSuspected     int   // suspected ones among them
+	usable             int   // usable owned slots
+	free               int   // free ones among them
+	awaitingCheckSlots int   // owned slots that wait for the first health check
+	probesDue          int   // suspected targets that are due for a probe request
+	freeHead           int32 // targets with a free slot, longest idle first
+	freeTail           int32
+	panicMode          bool    // suspicion is ignored
+	timers             []int32 // targets with a running timer
+	checkOrder         []int32 // targets with a health endpoint, in order of check phase
+	checkCursor        int     // next in order
+	checkNow           []int32 // new targets, to be checked at once
+
+	requests    []activeRequest
+	freeRequest int32
+	running     int
+	longRunning int // long requests that hold a slot
+	oldest      int32
+	newest      int32
+
+	feeds      int
+	feedOffset int // rotates the choice among equal targets
+	predictor  predictor
+	now        ids.Time // of the last call that carried a time
 }
 
 func newPool(service ids.Service, seed uint64) *Pool {
 	return &Pool{
 		service: service, seed: ids.Mix(seed, ids.Hash(string(service))),
-		known: make(map[ids.Target]bool), byName: make(map[ids.Target]int32),
-		head: none, tail: none, freeRun: none, oldest: none, newest: none,
+		draining: make(map[ids.Target]bool), byName: make(map[ids.Target]int32),
+		freeHead: none, freeTail: none, freeRequest: none, oldest: none, newest: none,
 		predictor: newPredictor(),
 	}
 }
@@ -72,12 +72,12 @@
 	p.now = now
 	p.spread, p.maxFeeds = s.profile.Spread, s.profile.Protect.MaxFeeds
 	p.predictor.longFactor = cmp.Or(p.spread.LongFactor, defaultLongFactor)
-	clear(p.known)
+	clear(p.draining)
 	// In order of name, as the order of entries decides between equal targets.
 	for _, name := range slices.Sorted(maps.Keys(s.targets)) {
 		m := s.targets[name]
-		p.known[name] = m.Draining
-		owned := s.assignment.targets[m.place].owned(self)
+		p.draining[name] = m.Draining
+		owned := s.assignment.targets[m.placementIndex].ownedBy(self)
 		i, found := p.byName[name]
 		if found && p.targets[i].endpoint != m.Address {
 			p.remove(i) // another backend server has taken over the name
@@ -88,7 +88,7 @@
 			regained := p.targets[i].owned == 0 && owned > 0
 			p.targets[i].owned = owned
 			if regained {
-				p.checkFirst(now, i, m)
+				p.requestFirstCheck(now, i, m)
 			}
 		case owned > 0:
 			i = p.add(now, m, owned)
@@ -97,11 +97,11 @@
 		}
 		t := p.targets[i]
 		t.slots, t.url = m.Slots, m.Health
-		t.first = s.assignment.targets[m.place].owner[0] == self
+		t.ownsFirstSlot = s.assignment.targets[m.placementIndex].owner[0] == self
 		p.setDraining(now, t, m.Draining)
 	}
 	for _, name := range slices.Sorted(maps.Keys(p.byName)) {
-		if _, ok := p.known[name]; !ok {
+		if _, ok := p.draining[name]; !ok {
 			p.remove(p.byName[name])
 		}
 	}
@@ -109,23 +109,23 @@
 }
 
 // add creates the entry of a target.
-func (p *Pool) add(now ids.Time, m *member, owned int) int32 {
-	t := &target{name: m.Name, endpoint: m.Address, life: chart.Backend.New(), trust: chart.Suspicion.New(),
+func (p *Pool) add(now ids.Time, m *serviceTarget, owned int) int32 {
+	t := &target{name: m.Name, endpoint: m.Address, lifecycle: chart.Backend.New(), suspicion: chart.Suspicion.New(),
 		owned: owned, next: none, prev: none, slowness: 1}
-	t.slowUntil = m.since.Add(p.spread.SlowStart)
-	if m.since == 0 || !now.Before(t.slowUntil) {
-		t.life.Fire(chart.BackendReady)
+	t.slowUntil = m.addedAt.Add(p.spread.SlowStart)
+	if m.addedAt == 0 || !now.Before(t.slowUntil) {
+		t.lifecycle.Fire(chart.BackendReady)
 	} else if m.Health != "" {
 		// A new target is used once a check or a probe request has shown that
 		// it is up.
-		t.trust.Fire(chart.SuspicionSilent)
-		t.unproven = true
+		t.suspicion.Fire(chart.SuspicionSilent)
+		t.unverified = true
 		t.suspectedAt, t.backOff = now, minBackOff
-		t.probeAt = now.Add(unprovenWait)
+		t.probeAt = now.Add(unverifiedWait)
 	}
 	var i int32
-	if n := len(p.unused); n > 0 {
-		i, p.unused = p.unused[n-1], p.unused[:n-1]
+	if n := len(p.freeEntries); n > 0 {
+		i, p.freeEntries = p.freeEntries[n-1], p.freeEntries[:n-1]
 		p.targets[i] = t
 	} else {
 		i = int32(len(p.targets))
@@ -133,17 +133,17 @@
 	}
 	p.byName[m.Name] = i
 	t.nextCheck = p.nextPhase(now, i)
-	p.checkFirst(now, i, m)
+	p.requestFirstCheck(now, i, m)
 	return i
 }
 
 // checkFirst asks for a health check at once and delays the use of target i
 // until its result: a drain that only the health endpoint reports is known to
 // the previous owner alone.
-func (p *Pool) checkFirst(now ids.Time, i int32, m *member) {
-	p.fresh = append(p.fresh, i)
+func (p *Pool) requestFirstCheck(now ids.Time, i int32, m *serviceTarget) {
+	p.checkNow = append(p.checkNow, i)
 	if m.Health != "" {
-		p.targets[i].uncheckedUntil = now.Add(firstCheckWait)
+		p.targets[i].firstCheckDeadline = now.Add(firstCheckWait)
 	}
 }
 
@@ -152,16 +152,16 @@
 	t := p.targets[i]
 	delete(p.byName, t.name)
 	t.owned = 0
-	t.life.Fire(chart.BackendRemove)
+	t.lifecycle.Fire(chart.BackendRemove)
 	p.feeds -= t.feeds
 	t.feeds = 0
 	p.refresh(p.now, i)
-	p.reap(i)
+	p.freeIfUnused(i)
 }
 
 // reap frees the entry of a target that is gone or no longer owned, once
 // nothing runs on it.
-func (p *Pool) reap(i int32) {
+func (p *Pool) freeIfUnused(i int32) {
 	t := p.targets[i]
 	if t == nil || t.owned > 0 || t.inUse > 0 || t.feeds > 0 {
 		return
@@ -171,12 +171,12 @@
 	}
 	p.unlink(i)
 	p.timers = deleteIndex(p.timers, i)
-	if k := slices.Index(p.order, i); k >= 0 {
-		p.order = slices.Delete(p.order, k, k+1)
-		p.cursor = 0
+	if k := slices.Index(p.checkOrder, i); k >= 0 {
+		p.checkOrder = slices.Delete(p.checkOrder, k, k+1)
+		p.checkCursor = 0
 	}
 	p.targets[i] = nil
-	p.unused = append(p.unused, i)
+	p.freeEntries = append(p.freeEntries, i)
 }
 
 func deleteIndex(list []int32, i int32) []int32 {
@@ -190,80 +190,80 @@
 // recount rebuilds the counters and the order of health checks after a change
 // of ownership.
 func (p *Pool) recount(now ids.Time) {
-	p.owned, p.suspect = 0, 0
-	p.order = p.order[:0]
+	p.panicTotal, p.panicSuspected = 0, 0
+	p.checkOrder = p.checkOrder[:0]
 	for i, t := range p.targets {
 		if t == nil {
 			continue
 		}
-		if t.counted() {
-			p.owned++
+		if t.countsForPanic() {
+			p.panicTotal++
 			if t.suspected() {
-				p.suspect++
+				p.panicSuspected++
 			}
 		}
-		if t.owned > 0 && t.url != "" && t.life.State() != chart.BackendGone {
-			p.order = append(p.order, int32(i))
+		if t.owned > 0 && t.url != "" && t.lifecycle.State() != chart.BackendGone {
+			p.checkOrder = append(p.checkOrder, int32(i))
 		}
 	}
 	p.sortChecks()
-	p.setPanic()
+	p.updatePanicMode()
 	for i := range p.targets {
 		if p.targets[i] != nil {
 			p.refresh(now, int32(i))
-			p.reap(int32(i))
+			p.freeIfUnused(int32(i))
 		}
 	}
 }
 
 // setPanic decides whether suspicion is ignored: more than half of the
 // targets are suspected, so the cause is more likely on this side.
-func (p *Pool) setPanic() bool {
-	was := p.panicking
-	p.panicking = p.owned >= panicTargets && p.suspect*2 > p.owned
-	return p.panicking != was
+func (p *Pool) updatePanicMode() bool {
+	was := p.panicMode
+	p.panicMode = p.panicTotal >= panicTargets && p.panicSuspected*2 > p.panicTotal
+	return p.panicMode != was
 }
 
 // refresh brings the counters and the list of free targets up to date with
 // the state of target i.
 func (p *Pool) refresh(now ids.Time, i int32) {
 	t := p.targets[i]
-	p.expire(now, t)
-	usable := t.limit(now, p.panicking)
+	p.endSlowStart(now, t)
+	usable := t.usableSlots(now, p.panicMode)
 	free := max(usable-t.inUse, 0)
 	p.usable += usable - t.usable
 	p.free += free - t.free
 	unchecked := 0
-	if t.unchecked(now) && !t.leaving() && !t.unproven && (p.panicking || !t.suspected()) {
+	if t.awaitingFirstCheck(now) && !t.drainingOrGone() && !t.unverified && (p.panicMode || !t.suspected()) {
 		unchecked = t.owned
 	}
-	p.unchecked += unchecked - t.uncheckedSlots
-	t.usable, t.free, t.uncheckedSlots = usable, free, unchecked
-	ready := !p.panicking && t.canProbe(now)
-	if ready != t.probeReady {
-		t.probeReady = ready
+	p.awaitingCheckSlots += unchecked - t.awaitingCheckSlots
+	t.usable, t.free, t.awaitingCheckSlots = usable, free, unchecked
+	ready := !p.panicMode && t.canProbe(now)
+	if ready != t.probeDue {
+		t.probeDue = ready
 		if ready {
-			p.probes++
+			p.probesDue++
 		} else {
-			p.probes--
+			p.probesDue--
 		}
 	}
 	switch {
-	case free > 0 && !t.listed:
+	case free > 0 && !t.inFreeList:
 		p.link(i)
-	case free == 0 && t.listed:
+	case free == 0 && t.inFreeList:
 		p.unlink(i)
 	}
-	if timed := now.Before(t.timer()); timed && !t.timed {
-		t.timed = true
+	if timed := now.Before(t.timersEnd()); timed && !t.hasTimer {
+		t.hasTimer = true
 		p.timers = append(p.timers, i)
 	}
 }
 
 // timer returns the latest of the running timers of t.
-func (t *target) timer() ids.Time {
-	end := max(t.heldUntil, t.uncheckedUntil)
-	if t.life.State() == chart.BackendStarting {
+func (t *target) timersEnd() ids.Time {
+	end := max(t.pausedUntil, t.firstCheckDeadline)
+	if t.lifecycle.State() == chart.BackendStarting {
 		end = max(end, t.slowUntil)
 	}
 	if t.suspected() {
@@ -274,44 +274,44 @@
 
 func (p *Pool) link(i int32) {
 	t := p.targets[i]
-	t.listed, t.prev, t.next = true, p.tail, none
-	if p.tail != none {
-		p.targets[p.tail].next = i
+	t.inFreeList, t.prev, t.next = true, p.freeTail, none
+	if p.freeTail != none {
+		p.targets[p.freeTail].next = i
 	} else {
-		p.head = i
+		p.freeHead = i
 	}
-	p.tail = i
+	p.freeTail = i
 }
 
 func (p *Pool) unlink(i int32) {
 	t := p.targets[i]
-	if !t.listed {
+	if !t.inFreeList {
 		return
 	}
 	if t.prev != none {
 		p.targets[t.prev].next = t.next
 	} else {
-		p.head = t.next
+		p.freeHead = t.next
 	}
 	if t.next != none {
 		p.targets[t.next].prev = t.prev
 	} else {
-		p.tail = t.prev
+		p.freeTail = t.prev
 	}
-	t.listed = false
+	t.inFreeList = false
 }
 
 // Capacity returns the number of usable owned slots, including one for each
 // suspected target that is due for a probe request and those that become
 // usable when the first health check ends.
-func (p *Pool) Capacity() int { return p.usable + p.probes + p.unchecked }
+func (p *Pool) Capacity() int { return p.usable + p.probesDue + p.awaitingCheckSlots }
 
 // Free returns the number of slots that a request of class c may take now.
 func (p *Pool) Free(c Class) int {
 	if c == Long {
-		return min(p.free, max(p.LongLimit(p.usable)-p.longs, 0))
+		return min(p.free, max(p.LongLimit(p.usable)-p.longRunning, 0))
 	}
-	return p.free + p.probes
+	return p.free + p.probesDue
 }
 
 // LongLimit is the greatest number of slots that long requests hold of a total
@@ -325,15 +325,15 @@
 func (p *Pool) Usable() int { return p.usable }
 
 // LongInUse returns the number of slots that long requests hold.
-func (p *Pool) LongInUse() int { return p.longs }
+func (p *Pool) LongInUse() int { return p.longRunning }
 
 // RunTime returns the mean run time of short requests.
-func (p *Pool) RunTime() time.Duration { return p.predictor.short() }
+func (p *Pool) RunTime() time.Duration { return p.predictor.shortRunTime() }
 
 // ServiceRate returns the number of requests a second, short and long, that the usable
 // slots serve.
 func (p *Pool) ServiceRate() float64 {
-	return float64(p.Capacity()) / max(p.predictor.slotMean, time.Microsecond).Seconds()
+	return float64(p.Capacity()) / max(p.predictor.overallMean, time.Microsecond).Seconds()
 }
 
 // Classify predicts the class of requests with this key, a hash of service,
@@ -343,19 +343,19 @@
 // ImportRunTime takes over the run time of a long request that another owner reports,
 // so that one owner after the other does not first serve such a request as a
 // short one.
-func (p *Pool) ImportRunTime(key uint64, run time.Duration) { p.predictor.adopt(key, run) }
+func (p *Pool) ImportRunTime(key uint64, run time.Duration) { p.predictor.importRunTime(key, run) }
 
 // OutOfService reports whether target is draining, no longer part of the service or
 // not owned here. The health of a target that is not owned is not checked, so a
 // drain that only its health endpoint reports would go unnoticed, and no slot
 // of it will become free here.
 func (p *Pool) OutOfService(name ids.Target) bool {
-	draining, known := p.known[name]
+	draining, known := p.draining[name]
 	if !known || draining {
 		return true
 	}
 	i, ok := p.byName[name]
-	return !ok || p.targets[i].owned == 0 || p.targets[i].leaving()
+	return !ok || p.targets[i].owned == 0 || p.targets[i].drainingOrGone()
 }
 
 // Targets appends the state of all owned targets to dst, in order of name.
@@ -363,8 +363,8 @@
 	start := len(dst)
 	for _, i := range p.byName {
 		t := p.targets[i]
-		dst = append(dst, TargetState{Target: t.name, Lifecycle: chart.Backend.StateName(t.life.State()),
-			Suspicion: chart.Suspicion.StateName(t.trust.State()),
+		dst = append(dst, TargetState{Target: t.name, Lifecycle: chart.Backend.StateName(t.lifecycle.State()),
+			Suspicion: chart.Suspicion.StateName(t.suspicion.State()),
 			Owned:     t.owned, Usable: t.usable, InUse: t.inUse, Feeds: t.feeds})
 	}
 	slices.SortFunc(dst[start:], func(a, b TargetState) int { return cmp.Compare(a.Target, b.Target) })
--- a/internal/spread/pool_test.go
+++ b/internal/spread/pool_test.go
@@ -93,17 +93,17 @@
 func TestPredictorAndTimeouts(t *testing.T) {
 	p := newPredictor()
 	for range 20 {
-		p.learn(1, 10*time.Millisecond, Short, Success)
+		p.record(1, 10*time.Millisecond, Short, Success)
 	}
-	p.learn(1, 2*time.Second, Short, Timeout)
-	p.learn(1, 2*time.Second, Short, Timeout)
+	p.record(1, 2*time.Second, Short, Timeout)
+	p.record(1, 2*time.Second, Short, Timeout)
 	assert.Equal(t, p.classify(1), Short)
-	for range timeoutsToLearn {
-		p.learn(2, 2*time.Second, Short, Timeout)
+	for range timeoutsForLong {
+		p.record(2, 2*time.Second, Short, Timeout)
 	}
 	assert.Equal(t, p.classify(2), Long)
 	for k := uint64(1000); k < 20000; k++ {
-		p.learn(k, 10*time.Millisecond, Short, Success)
+		p.record(k, 10*time.Millisecond, Short, Success)
 	}
 	assert.Equal(t, p.classify(2), Short, "an unused key is evicted")
 }
@@ -113,10 +113,10 @@
 	for _, d := range []time.Duration{20 * time.Microsecond, 3 * time.Millisecond, 47 * time.Millisecond, 9 * time.Second} {
 		p := newPredictor()
 		for range 100 {
-			p.learn(1, d, Short, Success)
+			p.record(1, d, Short, Success)
 		}
-		ratio := float64(p.mid) / float64(d)
-		assert.Assert(t, ratio > 0.85 && ratio < 1.15, "%v: %v", d, p.mid)
+		ratio := float64(p.median) / float64(d)
+		assert.Assert(t, ratio > 0.85 && ratio < 1.15, "%v: %v", d, p.median)
 	}
 }
 
@@ -139,9 +139,9 @@
 					leases = append(leases[:i], leases[i+1:]...)
 				}
 			case 3:
-				f.SetInstances(f.now, names(rapid.IntRange(1, 4).Draw(r, "instances")))
+				f.SetInstances(f.now, instanceNames(rapid.IntRange(1, 4).Draw(r, "instances")))
 			case 4:
-				f.r.Service.Targets = resolved("s", rapid.IntRange(1, 8).Draw(r, "targets")).Service.Targets
+				f.r.Service.Targets = testService("s", rapid.IntRange(1, 8).Draw(r, "targets")).Service.Targets
 				f.r.Service.Targets[0].Draining = rapid.Bool().Draw(r, "draining")
 				f.SetService(f.now, f.r)
 			case 5:
@@ -162,26 +162,26 @@
 			continue
 		}
 		usable, free, running = usable+t.usable, free+t.free, running+t.inUse
-		if t.listed {
+		if t.inFreeList {
 			listed++
 			assert.Assert(r, t.free > 0)
 		}
-		if t.counted() {
+		if t.countsForPanic() {
 			counted++
 			if t.suspected() {
 				suspect++
 			}
 		}
 	}
-	for _, e := range p.runs {
+	for _, e := range p.requests {
 		if e.active && e.class == Long {
 			longs++
 		}
 	}
 	assert.DeepEqual(r, []int{usable, free, running, longs, counted, suspect},
-		[]int{p.usable, p.free, leases, p.longs, p.owned, p.suspect})
+		[]int{p.usable, p.free, leases, p.longRunning, p.panicTotal, p.panicSuspected})
 	n := 0
-	for i := p.head; i != none; i = p.targets[i].next {
+	for i := p.freeHead; i != none; i = p.targets[i].next {
 		n++
 	}
 	assert.Equal(r, n, listed)
@@ -205,14 +205,14 @@
 // taken over: its health is not checked here, so a drain would go unnoticed.
 func TestTargetOfAnotherOwnerIsLeft(t *testing.T) {
 	f := newFixture(3)
-	f.SetInstances(f.now, names(3))
+	f.SetInstances(f.now, instanceNames(3))
 	f.pool = f.Pool("s")
 	for i := range 3 {
 		name := ids.Target(fmt.Sprintf("t%05d", i))
 		j, ok := f.pool.byName[name]
 		assert.Equal(t, f.pool.OutOfService(name), !ok || f.pool.targets[j].owned == 0, "%s", name)
 	}
-	f.SetInstances(f.now, names(1))
+	f.SetInstances(f.now, instanceNames(1))
 	name, _, _ := f.pool.OpenFeed(f.now, "")
 	assert.Assert(t, !f.pool.OutOfService(name))
 	f.SetInstances(f.now, []ids.Instance{"instance-001", "instance-002"})
@@ -245,7 +245,7 @@
 func TestTargetMovesToNewAddress(t *testing.T) {
 	f := newFixture(3)
 	l, _ := f.pool.AcquireTarget(f.now, "t00000")
-	moved := resolved("s", 3)
+	moved := testService("s", 3)
 	moved.Service.Targets = append([]config.Target{}, moved.Service.Targets...)
 	moved.Service.Targets[0].Address = moved.Service.Targets[2].Address
 	f.SetService(f.now, moved)
@@ -284,7 +284,7 @@
 		f := newFixture(12)
 		for i := range 60 {
 			if i%20 == 10 {
-				f.r.Service.Targets = resolved("s", 9+i%7).Service.Targets
+				f.r.Service.Targets = testService("s", 9+i%7).Service.Targets
 				f.SetService(f.now, f.r)
 			}
 			name, _ := f.request(uint64(i%3), time.Duration(i%7+1)*time.Millisecond, Success)
--- a/internal/spread/table.go
+++ b/internal/spread/table.go
@@ -24,9 +24,9 @@
 type service struct {
 	name    ids.Service
 	profile config.Profile
-	targets map[ids.Target]*member
+	targets map[ids.Target]*serviceTarget
 	assignment
-	homes   homes
+	homes   homeSelector
 	owners  []ids.Instance
 	pool    *Pool
 	removed bool
@@ -35,10 +35,10 @@
 // member is a target of a service, owned or not. since is when it was added
 // to a service that was already known; it is 0 for a target that was there
 // when this instance first saw the service, which is taken as established.
-type member struct {
+type serviceTarget struct {
 	config.Target
-	since ids.Time
-	place int // index in assignment.targets
+	addedAt        ids.Time
+	placementIndex int // index in assignment.targets
 }
 
 // NewTable returns an empty table for instance self in data centre dc. seed
@@ -63,7 +63,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(t.services)) {
 		s := t.services[name]
-		if s.affected(len(next), joined, left) {
+		if s.affectedBy(len(next), joined, left) {
 			t.reassign(now, s)
 		}
 	}
@@ -94,16 +94,16 @@
 	s.removed = false
 	s.profile = r.Profile
 	previous := s.targets
-	s.targets = make(map[ids.Target]*member, len(r.Service.Targets))
+	s.targets = make(map[ids.Target]*serviceTarget, len(r.Service.Targets))
 	s.assignment.targets = nil
 	key := ids.Hash(string(s.name))
 	for _, target := range r.Service.Targets {
 		if target.DataCentre != t.dc || target.Slots <= 0 || s.targets[target.Name] != nil {
 			continue
 		}
-		m := &member{Target: target, since: since}
+		m := &serviceTarget{Target: target, addedAt: since}
 		if old := previous[target.Name]; old != nil && old.Address == target.Address {
-			m.since = old.since
+			m.addedAt = old.addedAt
 		}
 		s.targets[target.Name] = m
 		s.assignment.targets = append(s.assignment.targets,
@@ -112,7 +112,7 @@
 	slices.SortFunc(s.assignment.targets, func(a, b placement) int { return cmp.Compare(a.key, b.key) })
 	for _, m := range s.targets {
 		k := ids.Mix(key, ids.Hash(string(m.Name)))
-		m.place, _ = slices.BinarySearchFunc(s.assignment.targets, k,
+		m.placementIndex, _ = slices.BinarySearchFunc(s.assignment.targets, k,
 			func(e placement, k uint64) int { return cmp.Compare(e.key, k) })
 	}
 	t.reassign(now, s)
@@ -128,7 +128,7 @@
 	s.removed = true
 	s.targets = nil
 	s.assignment = assignment{}
-	s.homes, s.owners = homes{}, nil
+	s.homes, s.owners = homeSelector{}, nil
 	if s.pool != nil {
 		s.pool.update(0, s, t.self)
 	}
@@ -139,8 +139,8 @@
 func (t *Table) reassign(now ids.Time, s *service) {
 	s.assign(t.instances)
 	s.homes.build(&s.assignment)
-	s.owners = slices.Sorted(maps.Keys(s.count))
-	added := s.pool == nil && s.count[t.self] > 0
+	s.owners = slices.Sorted(maps.Keys(s.ownedSlots))
+	added := s.pool == nil && s.ownedSlots[t.self] > 0
 	if added {
 		s.pool = newPool(s.name, t.seed)
 	}
@@ -190,10 +190,10 @@
 // SlotShare returns the part of the slots of s that id owns, 0 to 1.
 func (t *Table) SlotShare(s ids.Service, id ids.Instance) float64 {
 	e := t.services[s]
-	if e == nil || e.total == 0 {
+	if e == nil || e.totalSlots == 0 {
 		return 0
 	}
-	return float64(e.count[id]) / float64(e.total)
+	return float64(e.ownedSlots[id]) / float64(e.totalSlots)
 }
 
 // Pool returns the pool of s. It is nil when no slot of s is owned and no
@@ -211,7 +211,7 @@
 	expired := false
 	for _, s := range t.pools {
 		s.pool.tick(now)
-		s.pool.checks(now, due)
+		s.pool.dispatchChecks(now, due)
 		expired = expired || s.pool.idle()
 	}
 	if expired {
--- a/internal/spread/target.go
+++ b/internal/spread/target.go
@@ -10,50 +10,50 @@
 // target is one backend server target of which this instance owns, or did
 // own, slots. Lifecycle and suspicion are independent of each other.
 type target struct {
-	name     ids.Target
-	endpoint ids.Endpoint
-	url      string // of its health endpoint; empty for passive health only
-	life     chart.Machine
-	trust    chart.Machine
-
-	slots int  // slots of the target, owned by any instance
-	owned int  // owned slots
-	first bool // slot 0 is owned, the only one in use during slow start
-	inUse int  // running requests, including those of slots since lost
-	feeds int
+	name      ids.Target
+	endpoint  ids.Endpoint
+	url       string // of its health endpoint; empty for passive health only
+	lifecycle chart.Machine
+	suspicion chart.Machine
+
+	slots         int  // slots of the target, owned by any instance
+	owned         int  // owned slots
+	ownsFirstSlot bool // slot 0 is owned, the only one in use during slow start
+	inUse         int  // running requests, including those of slots since lost
+	feeds         int
 
 	usable     int // owned slots that may be used now, see limit
 	free       int // max(usable - inUse, 0)
 	next, prev int32
-	listed     bool // in the list of targets with a free slot
+	inFreeList bool // in the list of targets with a free slot
 
 	// slowness is the moving average of run time over the expected one.
 	slowness float64
 
-	slowUntil ids.Time // end of slow start while starting
-	heldUntil ids.Time // end of the pause after a shed request
+	slowUntil   ids.Time // end of slow start while starting
+	pausedUntil ids.Time // end of the pause after a shed request
 	// uncheckedUntil is the end of the wait for the first health check since
 	// slots were taken over; uncheckedSlots counts the slots that wait.
-	uncheckedUntil ids.Time
-	uncheckedSlots int
-	sheds          int  // consecutive shed requests
-	timed          bool // in the list of targets with a timer
-
-	unproven     bool     // new, and nothing has shown yet that it is up
-	fromRequests bool     // suspected because of requests, not of checks
-	suspectedAt  ids.Time // when suspicion began
-	probeAt      ids.Time // earliest next probe request while suspected
-	backOff      time.Duration
-	probing      bool
-	probeReady   bool // counted in pool.probes
-
-	failures     int      // consecutive failed requests
-	lastSuccess  ids.Time // of a request
-	lastDispatch ids.Time
-	failedChecks int      // consecutive failed checks that count as evidence
-	lastCheck    ids.Time // when the last result arrived
-	nextCheck    ids.Time
-	configDrains bool // draining by configuration, which a check cannot undo
+	firstCheckDeadline ids.Time
+	awaitingCheckSlots int
+	consecutiveSheds   int  // consecutive shed requests
+	hasTimer           bool // in the list of targets with a timer
+
+	unverified          bool     // new, and nothing has shown yet that it is up
+	suspectedByRequests bool     // suspected because of requests, not of checks
+	suspectedAt         ids.Time // when suspicion began
+	probeAt             ids.Time // earliest next probe request while suspected
+	backOff             time.Duration
+	probeInFlight       bool
+	probeDue            bool // counted in pool.probes
+
+	consecutiveFailures int      // consecutive failed requests
+	lastSuccess         ids.Time // of a request
+	lastDispatch        ids.Time
+	failedChecks        int      // consecutive failed checks that count as evidence
+	lastCheck           ids.Time // when the last result arrived
+	nextCheck           ids.Time
+	configDraining      bool // draining by configuration, which a check cannot undo
 }
 
 // Limits of passive and active health.
@@ -65,7 +65,7 @@
 	checksToSuspect   = 2
 	// A failed check of a target that has served a request so recently, and
 	// has had none since, says more about the check than about the target.
-	successTrusted = 10 * time.Second
+	successEvidenceAge = 10 * time.Second
 	// Each probe request to a dead target fails for its caller, so the back-off
 	// doubles; while checks succeed, a probe has better prospects.
 	minBackOff         = 500 * time.Millisecond
@@ -78,7 +78,7 @@
 	firstCheckWait = 200 * time.Millisecond
 	// A new target whose checks do not pass is probed with a request after this
 	// time, because the health endpoint may be wrong.
-	unprovenWait = 5 * time.Second
+	unverifiedWait = 5 * time.Second
 	// A target whose slots other instances use as well, because the membership
 	// lists disagree, queues requests, so they seem to run longer.
 	slownessWindow = 16
@@ -88,7 +88,7 @@
 	idleWeight = 0.02
 	// slownessAge is the time without a request after which a slow target is
 	// tried again; the average would never change otherwise.
-	slownessAge = time.Second
+	slownessExpiry = time.Second
 	// pickLimit bounds the search for a fast target.
 	pickLimit = 8
 	// Below this number of targets the share of suspected ones says nothing:
@@ -96,27 +96,27 @@
 	panicTargets = 3
 )
 
-func (t *target) suspected() bool { return t.trust.State() == chart.Suspected }
+func (t *target) suspected() bool { return t.suspicion.State() == chart.Suspected }
 
-func (t *target) leaving() bool {
-	s := t.life.State()
+func (t *target) drainingOrGone() bool {
+	s := t.lifecycle.State()
 	return s == chart.BackendDraining || s == chart.BackendGone
 }
 
 // unchecked reports whether the first check after a takeover has not ended.
-func (t *target) unchecked(now ids.Time) bool { return now.Before(t.uncheckedUntil) }
+func (t *target) awaitingFirstCheck(now ids.Time) bool { return now.Before(t.firstCheckDeadline) }
 
 // counted reports whether the target counts for the panic threshold.
-func (t *target) counted() bool { return t.owned > 0 && !t.leaving() && !t.unproven }
+func (t *target) countsForPanic() bool { return t.owned > 0 && !t.drainingOrGone() && !t.unverified }
 
 // limit returns how many owned slots may be used now.
-func (t *target) limit(now ids.Time, panicking bool) int {
+func (t *target) usableSlots(now ids.Time, panicking bool) int {
 	switch {
-	case t.leaving(), t.unproven, now.Before(t.heldUntil), t.unchecked(now), t.suspected() && !panicking:
+	case t.drainingOrGone(), t.unverified, now.Before(t.pausedUntil), t.awaitingFirstCheck(now), t.suspected() && !panicking:
 		return 0
-	case t.life.State() == chart.BackendStarting && t.first:
+	case t.lifecycle.State() == chart.BackendStarting && t.ownsFirstSlot:
 		return min(t.owned, 1)
-	case t.life.State() == chart.BackendStarting:
+	case t.lifecycle.State() == chart.BackendStarting:
 		return 0
 	}
 	return t.owned
@@ -125,7 +125,7 @@
 // canProbe reports whether a request may be sent to the suspected target to
 // find out whether it works again.
 func (t *target) canProbe(now ids.Time) bool {
-	return t.suspected() && !t.leaving() && !t.probing && t.inUse < t.owned && !now.Before(t.probeAt)
+	return t.suspected() && !t.drainingOrGone() && !t.probeInFlight && t.inUse < t.owned && !now.Before(t.probeAt)
 }
 
 // shedPause returns the pause after the n-th consecutive shed request.
--- a/internal/spread/types.go
+++ b/internal/spread/types.go
@@ -35,7 +35,7 @@
 type Lease struct {
 	Target   ids.Target
 	Endpoint ids.Endpoint
-	run      int32  // index of the running request in the pool
+	request  int32  // index of the running request in the pool
 	gen      uint32 // generation of that entry
 }
 
