--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -69,7 +69,7 @@
 		for b.Loop() {
 			d.Upto++
 			d.Documents[0].Revision = d.Upto
-			s.Apply(d.Documents, d.Upto)
+			s.ApplyDocuments(d.Documents, d.Upto)
 			s.Delta(d.Upto-1, 32<<10)
 		}
 	})
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -61,10 +61,10 @@
 	unconfirmed int
 }
 
-// Apply merges documents received from a peer. They must answer a request for
+// ApplyDocuments merges documents received from a peer. They must answer a request for
 // what changed after a revision that this store had reached, and be complete
 // up to upto. It returns the services whose resolved state changed.
-func (s *Store) Apply(docs []peerwire.Document, upto ids.Revision) (changed []ids.Service) {
+func (s *Store) ApplyDocuments(docs []peerwire.Document, upto ids.Revision) (changed []ids.Service) {
 	m := merger{s: s}
 	for i := range docs {
 		d := &docs[i]
@@ -81,10 +81,10 @@
 	return m.finish(upto)
 }
 
-// Publish merges publications read from the platform. They must be complete
+// ApplyPublications merges publications read from the platform. They must be complete
 // from the revision asked for up to upto. It returns the services whose
 // resolved state changed, and why publications were refused.
-func (s *Store) Publish(p []Publication, upto ids.Revision) (changed []ids.Service, refused []Refusal) {
+func (s *Store) ApplyPublications(p []Publication, upto ids.Revision) (changed []ids.Service, refused []Refusal) {
 	m := merger{s: s}
 	next := s.revision + 1 // all revisions before it are accounted for
 	for i := range p {
@@ -114,9 +114,9 @@
 	}
 }
 
-// Wanted returns the revision after which a peer should be asked because it
+// UnconfirmedAfter returns the revision after which a peer should be asked because it
 // may know a good value that this store missed.
-func (s *Store) Wanted() (after ids.Revision, ok bool) {
+func (s *Store) UnconfirmedAfter() (after ids.Revision, ok bool) {
 	if s.unconfirmed == 0 {
 		return 0, false
 	}
@@ -128,7 +128,7 @@
 	return 0, false
 }
 
-// merger collects the effects of one Apply or Publish.
+// merger collects the effects of one ApplyDocuments or ApplyPublications.
 type merger struct {
 	s        *Store
 	services map[ids.Service]bool
--- a/internal/config/store_test.go
+++ b/internal/config/store_test.go
@@ -25,7 +25,7 @@
 }
 
 func publish(s *Store, key string, r ids.Revision, value []byte) ([]ids.Service, []Refusal) {
-	return s.Publish([]Publication{{key, r, value}}, r)
+	return s.ApplyPublications([]Publication{{key, r, value}}, r)
 }
 
 // Guards against a stale or bad document that replaces the one in force, and
@@ -55,7 +55,7 @@
 	changed, _ = publish(&s, "service/counter", 6, nil)
 	assert.DeepEqual(t, changed, []ids.Service{"counter"})
 	publish(&s, "service/counter", 5, serviceDoc("standard"))
-	s.Apply([]peerwire.Document{{Key: "service/counter", Revision: 1, Value: serviceDoc("standard")}}, 1)
+	s.ApplyDocuments([]peerwire.Document{{Key: "service/counter", Revision: 1, Value: serviceDoc("standard")}}, 1)
 	_, ok := s.Resolved("counter")
 	assert.Assert(t, !ok, "a deleted service came back")
 	_, refused = publish(&s, "servce/x", 7, nil)
@@ -73,12 +73,12 @@
 	publish(&b, "profile/standard", 2, []byte("x"))
 	assert.Assert(t, a.Delta(0, big).Documents[0].Unconfirmed == false)
 	assert.Equal(t, a.Revision(), b.Revision())
-	after, ok := b.Wanted()
+	after, ok := b.UnconfirmedAfter()
 	assert.Assert(t, ok)
 	d := a.Delta(after, big)
-	b.Apply(d.Documents, d.Upto)
+	b.ApplyDocuments(d.Documents, d.Upto)
 	assert.DeepEqual(t, b.Documents(), a.Documents())
-	_, ok = b.Wanted()
+	_, ok = b.UnconfirmedAfter()
 	assert.Assert(t, !ok)
 }
 
@@ -95,7 +95,7 @@
 		d := a.Delta(b.Revision(), 1000)
 		assert.Assert(t, len(d.Documents) == 1 || len(d.Documents) < 20)
 		assert.Assert(t, parts < 10)
-		b.Apply(d.Documents, d.Upto)
+		b.ApplyDocuments(d.Documents, d.Upto)
 	}
 	assert.DeepEqual(t, a.Documents(), b.Documents())
 }
@@ -135,7 +135,7 @@
 					p = append(p, x)
 				}
 			}
-			s.Publish(p, ids.Revision(max(upto, 0)))
+			s.ApplyPublications(p, ids.Revision(max(upto, 0)))
 		}
 		stores := []*Store{{}, {}, {}, {}}
 		type delivery struct {
@@ -158,7 +158,7 @@
 			case 2:
 				if len(sent) > 0 {
 					d := rapid.SampledFrom(sent).Draw(t, "delivery")
-					stores[d.to].Apply(d.delta.Documents, d.delta.Upto)
+					stores[d.to].ApplyDocuments(d.delta.Documents, d.delta.Upto)
 				}
 			}
 			for i, s := range stores {
@@ -170,10 +170,10 @@
 		}
 		for range 2 {
 			for _, s := range stores {
-				if after, ok := s.Wanted(); ok {
+				if after, ok := s.UnconfirmedAfter(); ok {
 					for _, peer := range stores {
 						d := peer.Delta(after, big)
-						s.Apply(d.Documents, d.Upto)
+						s.ApplyDocuments(d.Documents, d.Upto)
 					}
 				}
 			}
--- a/internal/config/sync.go
+++ b/internal/config/sync.go
@@ -64,7 +64,7 @@
 
 // Kinds of requests.
 const (
-	AskPeer       RequestKind = iota // send ConfigRequest{After} to Peer
+	FetchFromPeer RequestKind = iota // send ConfigRequest{After} to Peer
 	ReadPlatform                     // read the changes after After
 	WatchPlatform                    // the same, and wait for one
 )
@@ -78,7 +78,7 @@
 
 // Syncer decides when an instance asks a peer for configuration, reads the
 // platform, or watches it. It performs nothing itself: Tick returns requests,
-// and the results are reported to Answered and Read.
+// and the results are reported to DeltaApplied and Read.
 type Syncer struct {
 	self  ids.Instance
 	rng   *rand.Rand
@@ -147,8 +147,8 @@
 // time to look for it has passed and there is at least a stale one.
 func (y *Syncer) Ready() bool { return y.ready }
 
-// Heard handles the revision in a heartbeat.
-func (y *Syncer) Heard(now ids.Time, from ids.Instance, r ids.Revision) {
+// ObserveRevision handles the revision in a heartbeat.
+func (y *Syncer) ObserveRevision(now ids.Time, from ids.Instance, r ids.Revision) {
 	if y.backoff > backoffMin && r > y.newest() {
 		// A peer has news, so the platform can probably be reached again.
 		// 2,500 instances cause at most 1,250 reads a second.
@@ -161,8 +161,8 @@
 	y.newsAt = now
 }
 
-// Answered handles a ConfigDelta that has been applied to the store.
-func (y *Syncer) Answered(now ids.Time, from ids.Instance) {
+// DeltaApplied handles a ConfigDelta that has been applied to the store.
+func (y *Syncer) DeltaApplied(now ids.Time, from ids.Instance) {
 	if p, ok := y.peers[from]; ok {
 		p.failures = 0
 		y.peers[from] = p
@@ -290,7 +290,7 @@
 	least := have + 1
 	if !behind {
 		var wanted bool
-		if after, wanted = s.Wanted(); !wanted {
+		if after, wanted = s.UnconfirmedAfter(); !wanted {
 			y.wantedGap = 0
 			return
 		}
@@ -315,7 +315,7 @@
 	}
 	slices.Sort(list)
 	y.asked, y.askedAt = list[y.rng.IntN(len(list))], now
-	do(Request{AskPeer, y.asked, after})
+	do(Request{FetchFromPeer, y.asked, after})
 }
 
 // mustRead reports whether this instance reads the platform itself now.
--- a/internal/config/sync_test.go
+++ b/internal/config/sync_test.go
@@ -42,18 +42,18 @@
 func (f *fleet) request(r Request) {
 	f.count[r.Kind]++
 	switch {
-	case r.Kind == AskPeer && !f.mute[r.Peer]:
+	case r.Kind == FetchFromPeer && !f.mute[r.Peer]:
 		f.pending = append(f.pending, func() {
 			d := f.peers[r.Peer].Delta(r.After, big)
-			f.store.Apply(d.Documents, d.Upto)
-			f.y.Answered(f.now, r.Peer)
+			f.store.ApplyDocuments(d.Documents, d.Upto)
+			f.y.DeltaApplied(f.now, r.Peer)
 		})
-	case r.Kind != AskPeer && f.platform == nil:
+	case r.Kind != FetchFromPeer && f.platform == nil:
 		f.pending = append(f.pending, func() { f.y.Read(f.now, 0, false) })
 	case r.Kind == ReadPlatform:
 		f.pending = append(f.pending, func() {
 			d := f.platform.Delta(r.After, f.page)
-			f.store.Apply(d.Documents, d.Upto)
+			f.store.ApplyDocuments(d.Documents, d.Upto)
 			f.y.Read(f.now, d.Upto, true)
 		})
 	}
@@ -69,7 +69,7 @@
 		}
 		if f.now.Sub(syncStart)%(300*time.Millisecond) == 0 {
 			for id, s := range f.peers {
-				f.y.Heard(f.now, id, s.Revision())
+				f.y.ObserveRevision(f.now, id, s.Revision())
 			}
 		}
 		f.y.Tick(f.now, &f.store, f.serving, f.request)
@@ -81,7 +81,7 @@
 func TestJoinAsksPeersFirst(t *testing.T) {
 	f := newFleet(t)
 	f.peers["b"], f.platform = storeAt(5), storeAt(5)
-	f.y.Heard(f.now, "b", 5)
+	f.y.ObserveRevision(f.now, "b", 5)
 	f.run(100 * time.Millisecond)
 	assert.Assert(t, f.y.Ready())
 	assert.Equal(t, f.store.Revision(), ids.Revision(5))
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -24,7 +24,7 @@
 		documents = append(documents, config.Publication{Key: d.Key, Revision: d.Revision, Value: d.Value})
 	}
 	// A stale platform changes nothing: the store keeps the highest revisions.
-	changed, refused := c.store.Publish(documents, e.Upto)
+	changed, refused := c.store.ApplyPublications(documents, e.Upto)
 	for _, f := range refused {
 		c.log("config-refused", fmt.Sprintf("key=%s revision=%d error=%q", f.Key, f.Revision, f.Err))
 	}
@@ -82,7 +82,7 @@
 			seeds = append(seeds, member.Seed{ID: i.ID, DataCentre: i.DataCentre, PeerAddr: i.PeerAddr})
 		}
 	}
-	c.view.Listed(c.now, seeds)
+	c.view.SetPlatformSeeds(c.now, seeds)
 }
 
 func (c *Core) configRequest(from ids.Instance, m *peerwire.ConfigRequest) {
@@ -92,14 +92,14 @@
 }
 
 func (c *Core) configDelta(from ids.Instance, m *peerwire.ConfigDelta) {
-	changed := c.store.Apply(m.Documents, m.Upto)
-	c.sync.Answered(c.now, from)
+	changed := c.store.ApplyDocuments(m.Documents, m.Upto)
+	c.sync.DeltaApplied(c.now, from)
 	c.apply(changed)
 }
 
 // requestConfig carries out what the syncer asks for.
 func (c *Core) requestConfig(r config.Request) {
-	if r.Kind == config.AskPeer {
+	if r.Kind == config.FetchFromPeer {
 		b := c.peer(nil)
 		b.message.ConfigRequest = &peerwire.ConfigRequest{After: r.After}
 		c.send(r.Peer, b)
--- a/internal/core/peer.go
+++ b/internal/core/peer.go
@@ -24,10 +24,10 @@
 	}
 	switch {
 	case m.Heartbeat != nil:
-		c.view.Heartbeat(c.now, m.From, m.Heartbeat)
-		c.sync.Heard(c.now, m.From, m.Heartbeat.Revision)
+		c.view.HandleHeartbeat(c.now, m.From, m.Heartbeat)
+		c.sync.ObserveRevision(c.now, m.From, m.Heartbeat.Revision)
 	case m.MemberDelta != nil:
-		c.view.Delta(c.now, m.From, m.MemberDelta)
+		c.view.HandleDelta(c.now, m.From, m.MemberDelta)
 	case m.ConfigRequest != nil:
 		c.configRequest(m.From, m.ConfigRequest)
 	case m.ConfigDelta != nil:
--- a/internal/member/bench_test.go
+++ b/internal/member/bench_test.go
@@ -39,7 +39,7 @@
 		h := &peerwire.Heartbeat{Seq: 1, Clock: start, Digest: v.digest32()}
 		from := v.links[0].id
 		for b.Loop() {
-			v.Heartbeat(start, from, h)
+			v.HandleHeartbeat(start, from, h)
 		}
 	})
 }
@@ -54,7 +54,7 @@
 			now = now.Add(10 * time.Millisecond)
 			for i := range v.links {
 				if now%(200*1e6) == 0 && v.links[i].id != "" {
-					v.Heartbeat(now, v.links[i].id, h)
+					v.HandleHeartbeat(now, v.links[i].id, h)
 				}
 			}
 			v.Tick(now, discard)
@@ -109,7 +109,7 @@
 		for b.Loop() {
 			d.Members[0].Counter++
 			d.Members[0].Lifecycle ^= peerwire.Joining ^ peerwire.Serving
-			v.Delta(start, name(1), d)
+			v.HandleDelta(start, name(1), d)
 			v.Changed()
 		}
 	})
--- a/internal/member/gossip.go
+++ b/internal/member/gossip.go
@@ -144,8 +144,8 @@
 	}
 }
 
-// Heartbeat handles a heartbeat from another instance.
-func (v *View) Heartbeat(now ids.Time, from ids.Instance, h *peerwire.Heartbeat) {
+// HandleHeartbeat handles a heartbeat from another instance.
+func (v *View) HandleHeartbeat(now ids.Time, from ids.Instance, h *peerwire.Heartbeat) {
 	v.advance(now)
 	if from == v.id || from == "" {
 		return
@@ -249,10 +249,10 @@
 	v.asking = id
 }
 
-// Delta handles a part of the view of another instance. A request with at
-// most the sender's own record asks for the complete view, one with more for
-// the latest changes.
-func (v *View) Delta(now ids.Time, from ids.Instance, d *peerwire.MemberDelta) {
+// HandleDelta handles a part of the view of another instance. A request with
+// at most the sender's own record asks for the complete view, one with more
+// for the latest changes.
+func (v *View) HandleDelta(now ids.Time, from ids.Instance, d *peerwire.MemberDelta) {
 	v.advance(now)
 	if from == v.id || from == "" {
 		return
--- a/internal/member/sim_test.go
+++ b/internal/member/sim_test.go
@@ -142,9 +142,9 @@
 		case d.paused:
 			s.queue = append(s.queue, packet{s.now.Add(s.step), p.from, p.to, p.msg})
 		case p.msg.Heartbeat != nil:
-			d.view.Heartbeat(s.now, p.from, p.msg.Heartbeat)
+			d.view.HandleHeartbeat(s.now, p.from, p.msg.Heartbeat)
 		default:
-			d.view.Delta(s.now, p.from, p.msg.MemberDelta)
+			d.view.HandleDelta(s.now, p.from, p.msg.MemberDelta)
 		}
 	}
 	s.queue = slices.Delete(s.queue, 0, due)
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -130,8 +130,8 @@
 	return v
 }
 
-// Listed replaces the seeds that come from the platform's list.
-func (v *View) Listed(now ids.Time, listed []Seed) {
+// SetPlatformSeeds replaces the seeds that come from the platform's list.
+func (v *View) SetPlatformSeeds(now ids.Time, listed []Seed) {
 	v.advance(now)
 	v.listed = append(v.listed[:0], listed...)
 }
--- a/internal/member/view_test.go
+++ b/internal/member/view_test.go
@@ -192,7 +192,7 @@
 	for i := range ids.Time(40) {
 		delay := time.Duration(i%4) * 50 * time.Millisecond
 		now := start + i*ids.Time(500*time.Millisecond)
-		v.Heartbeat(now, "b", &peerwire.Heartbeat{Seq: 1, Clock: now.Add(7*time.Second - delay)})
+		v.HandleHeartbeat(now, "b", &peerwire.Heartbeat{Seq: 1, Clock: now.Add(7*time.Second - delay)})
 	}
 	assert.Equal(t, v.ClockOffset("b"), 7*time.Second)
 	assert.Equal(t, v.ClockOffset("c"), time.Duration(0))
