--- a/internal/fanout/client.go
+++ b/internal/fanout/client.go
@@ -68,7 +68,7 @@
 			return follow.Update{}, eris.Wrapf(err, "decode update of instance %s", c.instance.ID)
 		}
 		u.Targets = append(parts, u.Targets...)
-		if !u.Part {
+		if !u.More {
 			break
 		}
 		if len(u.Targets) > maxTargets {
--- a/internal/fanout/server.go
+++ b/internal/fanout/server.go
@@ -102,7 +102,7 @@
 // send writes an update, one with many targets in parts. It takes targets off u.
 func send(ctx context.Context, ws *websocket.Conn, u *follow.Update) error {
 	for len(u.Targets) > partTargets {
-		if err := sendMessage(ctx, ws, &follow.Update{Part: true, Targets: u.Targets[:partTargets]}); err != nil {
+		if err := sendMessage(ctx, ws, &follow.Update{More: true, Targets: u.Targets[:partTargets]}); err != nil {
 			return err
 		}
 		u.Targets = u.Targets[partTargets:]
@@ -126,7 +126,7 @@
 		if _, err := w.Write(piece); err != nil {
 			return err
 		}
-		monitor.Moved(len(piece))
+		monitor.Transferred(len(piece))
 	}
 	return w.Close()
 }
--- a/internal/fanout/source.go
+++ b/internal/fanout/source.go
@@ -62,13 +62,13 @@
 	// the platform is read directly.
 	MaxAge time.Duration
 	Log    *slog.Logger
-	// Version returns the present version of the configuration, 0 for none.
-	Version func() uint64
-	// Instances is called with the number of live instances of the data centre
+	// ConfigVersion returns the present version of the configuration, 0 for none.
+	ConfigVersion func() uint64
+	// OnInstanceCount is called with the number of live instances of the data centre
 	// when it has changed.
-	Instances func(n int)
-	// Count is called for each read with its source, "platform" or "instance".
-	Count func(source string, err error)
+	OnInstanceCount func(n int)
+	// OnRead is called for each read with its source, "platform" or "instance".
+	OnRead func(source string, err error)
 }
 
 // Source reads from the instances above this one in the ranking, or else from
@@ -100,11 +100,11 @@
 
 // NewSource returns a source that falls back to platform.
 func NewSource(platform follow.Source, c Config) *Source {
-	if c.Instances == nil {
-		c.Instances = func(int) {}
+	if c.OnInstanceCount == nil {
+		c.OnInstanceCount = func(int) {}
 	}
-	if c.Count == nil {
-		c.Count = func(string, error) {}
+	if c.OnRead == nil {
+		c.OnRead = func(string, error) {}
 	}
 	s := &Source{config: c, platform: platform, clients: map[ids.Instance]*client{}, failed: map[ids.Instance]time.Time{}}
 	s.current.Store("")
@@ -153,7 +153,7 @@
 		calls.Go(func() {
 			var ranking Ranking
 			if err := seed.Get(ctx, path, seedTimeout, &ranking); err != nil {
-				s.config.Log.Debug("seed-unreachable", "seed", seed.Base(), "error", err)
+				s.config.Log.Debug("seed-unreachable", "seed", seed.BaseURL(), "error", err)
 				return
 			}
 			answered.Store(true)
@@ -181,7 +181,7 @@
 	s.ranking, s.rankedAt = ranking, time.Now()
 	s.mu.Unlock()
 	if ranking.Live != old.Live {
-		s.config.Instances(ranking.Live)
+		s.config.OnInstanceCount(ranking.Live)
 	}
 	if !slices.Equal(ranking.Sources, old.Sources) {
 		names := make([]string, len(ranking.Sources))
@@ -225,7 +225,7 @@
 	first := answer{err: errNoInstance}
 	select {
 	case first = <-platform:
-		s.config.Count(platformName, first.err)
+		s.config.OnRead(platformName, first.err)
 		if first.err == nil {
 			s.note(platformName, nil)
 			return first.update, nil
@@ -237,7 +237,7 @@
 	for platform != nil || others != nil {
 		select {
 		case a := <-platform:
-			s.config.Count(platformName, a.err)
+			s.config.OnRead(platformName, a.err)
 			platform = nil
 			if a.err == nil {
 				s.note(platformName, nil)
@@ -252,7 +252,7 @@
 			if a.err == nil && s.lost != 0 && a.update.Revision <= s.lost {
 				a.err = errStale
 			}
-			s.config.Count("instance", a.err)
+			s.config.OnRead("instance", a.err)
 			if a.err == nil {
 				s.note(a.source, nil)
 				return a.update, nil
@@ -324,7 +324,7 @@
 		return u, nil
 	}
 	u, err := s.platform.ReadChanges(ctx, after, wait, timeout)
-	s.config.Count(platformName, err)
+	s.config.OnRead(platformName, err)
 	if s.outage = err != nil; s.outage {
 		delete(s.failed, s.stale) // it is listened to until either is back
 	}
@@ -345,11 +345,11 @@
 		}
 		c := s.clients[i.ID]
 		if c == nil || c.instance != i {
-			c = &client{instance: i, version: s.config.Version}
+			c = &client{instance: i, version: s.config.ConfigVersion}
 			s.clients[i.ID] = c
 		}
 		u, err := s.readFresh(ctx, c, after)
-		s.config.Count("instance", err)
+		s.config.OnRead("instance", err)
 		if errors.Is(err, errStale) && s.outage {
 			// It is listened to again after the next try of the platform.
 			s.note("none", eris.Wrapf(err, "source %s", i.ID))
--- a/internal/fanout/source_test.go
+++ b/internal/fanout/source_test.go
@@ -28,7 +28,7 @@
 // each failed call.
 func TestSeedsLost(t *testing.T) {
 	var log syncbuf.Buffer
-	s := NewSource(&platformStub{}, Config{Log: slog.New(slog.NewTextHandler(&log, nil)), Version: noVersion})
+	s := NewSource(&platformStub{}, Config{Log: slog.New(slog.NewTextHandler(&log, nil)), ConfigVersion: noVersion})
 	for _, answered := range []bool{true, false, false, true, true} {
 		s.noteSeeds(answered)
 	}
@@ -92,7 +92,7 @@
 		mux.ServeHTTP(w, r)
 	}))
 	t.Cleanup(n.server.Close)
-	n.source = NewSource(p, Config{DataCentre: "dc", Self: Instance{id, n.address()}, MaxAge: 300 * time.Millisecond, Log: quiet, Version: n.state.Version})
+	n.source = NewSource(p, Config{DataCentre: "dc", Self: Instance{id, n.address()}, MaxAge: 300 * time.Millisecond, Log: quiet, ConfigVersion: n.state.Version})
 	return n
 }
 
@@ -264,14 +264,14 @@
 	seed := newNode(t, "s", p)
 	seed.state.Apply(&follow.Update{Complete: true, Revision: 7, Age: time.Minute, Config: &passthrough.Config{Version: 3}})
 	n := newNode(t, "n", p)
-	n.source = NewSource(p, Config{DataCentre: "other", Self: Instance{"n", n.address()}, MaxAge: time.Second, Log: quiet, Version: noVersion,
+	n.source = NewSource(p, Config{DataCentre: "other", Self: Instance{"n", n.address()}, MaxAge: time.Second, Log: quiet, ConfigVersion: noVersion,
 		Seeds: []string{"127.0.0.1:1", n.address().String(), seed.address().String()}})
 	u, err := n.source.ReadAll(context.Background(), time.Second)
 	assert.NilError(t, err)
 	assert.Equal(t, u.Config.Version, uint64(3))
 	start := time.Now()
 	p.hang.Store(true)
-	timeout := follow.TimingFor(3 * time.Second).Slack
+	timeout := follow.TimingFor(3 * time.Second).Timeout
 	_, err = n.source.ReadAll(context.Background(), timeout)
 	assert.NilError(t, err)
 	assert.Assert(t, time.Since(start) < timeout, "it waits for a platform that hangs")
@@ -289,7 +289,7 @@
 	p := &platformStub{}
 	seed, n := newNode(t, "s", p), newNode(t, "n", p)
 	n.source = NewSource(p, Config{DataCentre: "dc", Self: Instance{"n", n.address()}, MaxAge: time.Second,
-		Log: slog.New(slog.NewTextHandler(&log, nil)), Version: noVersion, Seeds: []string{"127.0.0.1:1", seed.address().String()}})
+		Log: slog.New(slog.NewTextHandler(&log, nil)), ConfigVersion: noVersion, Seeds: []string{"127.0.0.1:1", seed.address().String()}})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { n.source.Announce(ctx); close(done) }()
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -32,8 +32,8 @@
 	Record     passthrough.TargetRecord `cbor:"5,keyasint,omitempty"`
 }
 
-// Invalid is an entry that could not be read.
-type Invalid struct {
+// InvalidEntry is an entry that could not be read.
+type InvalidEntry struct {
 	Key      string
 	Revision uint64
 	Err      error
@@ -45,11 +45,11 @@
 	Revision uint64              `cbor:"2,keyasint,omitempty"` // up to which it is known
 	Config   *passthrough.Config `cbor:"3,keyasint,omitempty"`
 	Targets  []*Target           `cbor:"4,keyasint,omitempty"` // in the order of their changes; shared, never changed
-	Invalid  []Invalid           `cbor:"-"`                    // logged where it was read
+	Invalid  []InvalidEntry      `cbor:"-"`                    // logged where it was read
 	// Age is the time since the source itself was known to be complete.
 	Age time.Duration `cbor:"5,keyasint,omitempty"`
-	// Part tells that the rest of the update follows; only its targets are set.
-	Part bool `cbor:"8,keyasint,omitempty"`
+	// More tells that the rest of the update follows; only its targets are set.
+	More bool `cbor:"8,keyasint,omitempty"`
 	// ConfigDelta is set in place of Config by a source that knows what the
 	// reader has. The reader's state turns it into Config.
 	ConfigDelta *ConfigDelta `cbor:"7,keyasint,omitempty"`
@@ -81,8 +81,8 @@
 
 // Timing of the reads.
 type Timing struct {
-	Wait  time.Duration // for which a read of changes waits
-	Slack time.Duration // allowed beyond Wait, and for a full read
+	Wait    time.Duration // for which a read of changes waits
+	Timeout time.Duration // allowed beyond Wait, and for a full read
 	// Interval is the least time between two reads of changes by a Paced source.
 	Interval time.Duration
 	// RetryMin and RetryMax bound the pause after a failed read.
@@ -101,7 +101,7 @@
 func TimingFor(apply time.Duration) Timing {
 	return Timing{
 		Wait:     time.Duration(float64(apply) * waitShare),
-		Slack:    time.Duration(float64(apply) * slackShare),
+		Timeout:  time.Duration(float64(apply) * slackShare),
 		Interval: 400 * time.Millisecond,
 		RetryMin: 100 * time.Millisecond,
 		RetryMax: 400 * time.Millisecond,
@@ -143,13 +143,13 @@
 
 func (f *Follower) read(ctx context.Context) (Update, error) {
 	if !f.synced {
-		return f.source.ReadAll(ctx, f.timing.Slack)
+		return f.source.ReadAll(ctx, f.timing.Timeout)
 	}
 	wait := f.timing.Wait
 	if f.failures > 0 {
 		wait = 0 // the end of an outage is noticed without waiting for a change
 	}
-	return f.source.ReadChanges(ctx, f.revision, wait, wait+f.timing.Slack)
+	return f.source.ReadChanges(ctx, f.revision, wait, wait+f.timing.Timeout)
 }
 
 func (f *Follower) failed(ctx context.Context, err error) {
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -106,7 +106,7 @@
 	for _, apply := range []time.Duration{3 * time.Second, 5 * time.Second} {
 		timing := TimingFor(apply)
 		const reconnect = 700 * time.Millisecond
-		assert.Assert(t, timing.Wait+timing.Slack+timing.Interval/4+reconnect <= apply)
+		assert.Assert(t, timing.Wait+timing.Timeout+timing.Interval/4+reconnect <= apply)
 		assert.Assert(t, timing.Interval < apply/4)
 	}
 }
--- a/internal/forwarder/forward.go
+++ b/internal/forwarder/forward.go
@@ -109,7 +109,7 @@
 		if d.Reason != passthrough.Known {
 			platform.SetCookie(packet, d.Cookie)
 		}
-		platform.AddressTo(datagram, d.Identity)
+		platform.SetIdentity(datagram, d.Identity)
 		f.send(datagram, d.Address.AddrPort())
 	case passthrough.Reset:
 		at := netip.AddrPortFrom(netip.AddrFrom4(p.Flow.Caller.IP), f.settings.Listen.Port())
--- a/internal/forwarder/forwarder_test.go
+++ b/internal/forwarder/forwarder_test.go
@@ -151,11 +151,11 @@
 func (f *fleet) checkTargets() {
 	f.t.Helper()
 	for _, target := range f.targets {
-		_, _, repeated, crossed := target.Seen()
+		_, _, repeated, crossed := target.Counts()
 		assert.Equal(f.t, repeated, 0, "%s ran a request twice", target.ID)
 		assert.Equal(f.t, crossed, 0, "%s got packets that were not for it", target.ID)
 	}
-	assert.Equal(f.t, f.caller.Crossed(), 0)
+	assert.Equal(f.t, f.caller.Misdelivered(), 0)
 }
 
 // Guards against a path that does not work end to end, answers of another
@@ -224,12 +224,12 @@
 	}
 	f.store.PutTarget(draining, "draining")
 	f.eventually(func() bool { return strings.Contains(f.instances[0].log.String(), "state=draining") }, "the drain is known")
-	before, _, _, _ := draining.Seen()
+	before, _, _, _ := draining.Counts()
 	for i := range 20 {
 		_, err := f.request(counter, fmt.Sprint("n", i))
 		assert.NilError(t, err)
 	}
-	after, _, _, _ := draining.Seen()
+	after, _, _, _ := draining.Counts()
 	assert.Equal(t, after, before)
 	_, err = flow.Request([]byte("b"), time.Second)
 	assert.NilError(t, err)
@@ -257,7 +257,7 @@
 	assert.NilError(t, err)
 	f.store.Refuse(http.StatusServiceUnavailable)
 	f.store.PutConfig(7, platformtest.Route{IP: counter.Addr().String(), Port: int(counter.Port()), Service: "counter", Kind: "unsafe"})
-	f.store.Forget()
+	f.store.DropHistory()
 	time.Sleep(300 * time.Millisecond)
 	f.store.Refuse(0)
 	for _, i := range f.instances {
@@ -276,7 +276,7 @@
 // one repeated opening.
 func TestSilentTarget(t *testing.T) {
 	f := newFleet(t, 1)
-	f.targets[0].Silence(true)
+	f.targets[0].SetSilent(true)
 	slow := 0
 	for i := range 30 {
 		start := time.Now()
--- a/internal/forwarder/interfaces.go
+++ b/internal/forwarder/interfaces.go
@@ -60,14 +60,14 @@
 	}
 	context.AfterFunc(ctx, func() { _ = server.Close() }) // the process ends
 	source := fanout.NewSource(store, fanout.Config{
-		DataCentre: f.settings.DataCentre,
-		Self:       fanout.Instance{ID: f.settings.Instance, Address: f.settings.Advertise},
-		Seeds:      strings.FieldsFunc(f.settings.Seeds, func(r rune) bool { return r == ',' }),
-		MaxAge:     timing.Wait + timing.Slack,
-		Log:        f.log,
-		Version:    f.state.Version,
-		Instances:  func(n int) { f.run(ctx, func() { f.core.SetInstances(n) }) },
-		Count:      f.metrics.countRead,
+		DataCentre:      f.settings.DataCentre,
+		Self:            fanout.Instance{ID: f.settings.Instance, Address: f.settings.Advertise},
+		Seeds:           strings.FieldsFunc(f.settings.Seeds, func(r rune) bool { return r == ',' }),
+		MaxAge:          timing.Wait + timing.Timeout,
+		Log:             f.log,
+		ConfigVersion:   f.state.Version,
+		OnInstanceCount: func(n int) { f.run(ctx, func() { f.core.SetInstances(n) }) },
+		OnRead:          f.metrics.countRead,
 	})
 	f.peers = source
 	announce, leave := context.WithCancel(ctx)
--- a/internal/httpget/httpget.go
+++ b/internal/httpget/httpget.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// Base returns the base URL, for errors and logs.
-func (c *Client) Base() string { return c.base }
+// BaseURL returns the base URL, for errors and logs.
+func (c *Client) BaseURL() string { return c.base }
 
 // Get reads path, which may have a query, into body. The response begins within
 // timeout; a body takes as long as it makes progress, so that a large one over a
--- a/internal/progress/progress.go
+++ b/internal/progress/progress.go
@@ -41,8 +41,8 @@
 	m.timer.Reset(pause)
 }
 
-// Moved tells that n more bytes were transferred.
-func (m *Monitor) Moved(n int) {
+// Transferred tells that n more bytes were transferred.
+func (m *Monitor) Transferred(n int) {
 	m.moved += n
 	due := m.pause + time.Duration(m.moved)*time.Second/MinRate - time.Since(m.began)
 	m.timer.Reset(max(min(m.pause, due), 0))
@@ -58,6 +58,6 @@
 
 func (r *reader) Read(b []byte) (int, error) {
 	n, err := r.Reader.Read(b)
-	r.m.Moved(n)
+	r.m.Transferred(n)
 	return n, err
 }
--- a/internal/progress/progress_test.go
+++ b/internal/progress/progress_test.go
@@ -25,7 +25,7 @@
 	m.Begin(pause)
 	for range 10 {
 		time.Sleep(pause / 3)
-		m.Moved(piece)
+		m.Transferred(piece)
 	}
 	assert.Assert(t, !ended(ctx), "it moved on")
 	time.Sleep(2 * pause)
@@ -41,7 +41,7 @@
 	m.Begin(pause)
 	for range 10 {
 		time.Sleep(pause / 3)
-		m.Moved(1)
+		m.Transferred(1)
 	}
 	assert.Assert(t, ended(trickle), "it trickles")
 }
--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -28,7 +28,7 @@
 		}
 		return nil, a, err
 	}
-	a.via = s.chosen(dc, flow.From(), sv.at)
+	a.via = s.chosen(dc, flow.LocalAddr(), sv.at)
 	return flow, a, nil
 }
 
@@ -114,7 +114,7 @@
 			continue
 		}
 		server, err := s.request(flow, a, sv, true)
-		for err == nil && !flow.Ended() && time.Now().Before(s.end) {
+		for err == nil && !flow.ClosedByTarget() && time.Now().Before(s.end) {
 			time.Sleep(time.Duration(20+rand.IntN(200)) * time.Millisecond)
 			var again string
 			if again, err = s.request(flow, a, sv, false); err == nil && again != server {
@@ -159,7 +159,7 @@
 	flow, err := c.Open(at)
 	var via *instance
 	if err == nil {
-		via = s.chosen(dc, flow.From(), at)
+		via = s.chosen(dc, flow.LocalAddr(), at)
 		defer flow.Close()
 	}
 	s.mu.Lock()
--- a/soak/size_test.go
+++ b/soak/size_test.go
@@ -43,7 +43,7 @@
 		}
 		f.store.PutConfig(version, routes...)
 		if version == 3 {
-			f.store.Forget()
+			f.store.DropHistory()
 		}
 		time.Sleep(applyWithin)
 	}
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -278,7 +278,7 @@
 				i.control.muteOpen()
 			}
 		case 8:
-			s.store.Forget()
+			s.store.DropHistory()
 		case 9, 10:
 			for range 1 + s.rng.IntN(3) {
 				s.publish()
@@ -385,9 +385,9 @@
 func (s *soak) lose(sv *server, crash bool) {
 	s.disturbServer(sv, far)
 	if !crash {
-		sv.Silence(true)
+		sv.SetSilent(true)
 		time.Sleep(time.Second)
-		sv.Silence(false)
+		sv.SetSilent(false)
 		s.mu.Lock()
 		sv.disturbed = time.Now()
 		s.mu.Unlock()
@@ -422,12 +422,12 @@
 // and no server has ever seen what it must not.
 func (s *soak) checkEnd() {
 	for dc, c := range s.callers {
-		if crossed := c.Crossed(); crossed > 0 {
+		if crossed := c.Misdelivered(); crossed > 0 {
 			s.violation("callers of %s got %d packets of others, or changed ones", dc, crossed)
 		}
 	}
 	for id, sv := range s.servers {
-		_, _, repeated, crossed := sv.Seen()
+		_, _, repeated, crossed := sv.Counts()
 		if repeated > 0 || crossed > 0 {
 			s.violation("%s ran %d requests more than once and got %d packets that were not for it", id, repeated, crossed)
 		}
