--- a/internal/capacity/links.go
+++ b/internal/capacity/links.go
@@ -58,9 +58,9 @@
 	credentials, err := link.LoadCredentials(id, filepath.Join(l.dir, "ca.crt"),
 		filepath.Join(l.dir, string(id)+".crt"), filepath.Join(l.dir, string(id)+".key"))
 	check(err)
-	m := link.New(link.Config{Self: id, Credentials: credentials, Budget: 1 << 20, Queue: 1024, DataIdle: time.Minute,
+	m := link.New(link.Config{Self: id, Credentials: credentials, ControlBytesPerSecond: 1 << 20, QueueCapacity: 1024, DataIdle: time.Minute,
 		Log: slog.New(slog.DiscardHandler), Metrics: telemetry.NewRegistry(),
-		Address: func(id ids.Instance) (string, bool) {
+		LookupAddress: func(id ids.Instance) (string, bool) {
 			l.mu.Lock()
 			defer l.mu.Unlock()
 			a, ok := l.book[id]
--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -93,7 +93,7 @@
 	r.isAdmitted, r.admission = true, id
 	c.admitted[id] = r
 	if a.m.Block1.Num > 0 || a.m.Block2.Num > 0 {
-		k := flow.BlockKey{FlowKey: ids.FlowKey{Caller: a.caller, Service: s.name}, Path: a.m.Path}
+		k := flow.BlockKey{FlowKey: ids.FlowKey{Caller: a.caller, Service: s.name}, Path: a.m.PathHash}
 		route, _ := c.blocks.Get(c.now, k)
 		r.pin = route.Target
 	}
--- a/internal/core/caller.go
+++ b/internal/core/caller.go
@@ -129,7 +129,7 @@
 // here.
 func (c *Core) repeated(a *arrival) bool {
 	r := c.requests[requestKey{ids.FlowKey{Caller: a.caller, Service: a.svc.name}, a.token}]
-	if r == nil || r.code != a.m.Code || r.path != a.m.Path {
+	if r == nil || r.code != a.m.Code || r.path != a.m.PathHash {
 		return false
 	}
 	c.repeat(r, a)
@@ -211,7 +211,7 @@
 // followUp sends a block after the first to the target that served the first.
 func (c *Core) followUp(a *arrival, idempotent bool) {
 	s := a.svc
-	k := flow.BlockKey{FlowKey: ids.FlowKey{Caller: a.caller, Service: s.name}, Path: a.m.Path}
+	k := flow.BlockKey{FlowKey: ids.FlowKey{Caller: a.caller, Service: s.name}, Path: a.m.PathHash}
 	route, known := c.blocks.Get(c.now, k)
 	if known && route.Instance != "" && route.Instance != c.self.ID && s.peer(route.Instance) == nil {
 		known = false // that instance is lost or owns no slot any more
--- a/internal/core/long_test.go
+++ b/internal/core/long_test.go
@@ -19,7 +19,7 @@
 	long := message.HashPath("/l")
 	w.serve = func(b received) *message.Outgoing {
 		w.run = 10 * time.Millisecond
-		if b.m.Path == long {
+		if b.m.PathHash == long {
 			w.run = 500 * time.Millisecond
 		}
 		return &message.Outgoing{Type: message.Acknowledgement, Code: message.Content, ID: b.m.ID, Token: b.m.Token}
--- a/internal/core/peer.go
+++ b/internal/core/peer.go
@@ -78,8 +78,8 @@
 		return
 	}
 	k := ids.FlowKey{Caller: caller, Service: c.services[m.Service].name}
-	if m.Path != 0 {
-		c.blocks.Set(c.now, flow.BlockKey{FlowKey: k, Path: m.Path}, flow.BlockRoute{Instance: from})
+	if m.PathHash != 0 {
+		c.blocks.Set(c.now, flow.BlockKey{FlowKey: k, Path: m.PathHash}, flow.BlockRoute{Instance: from})
 		return
 	}
 	c.ackRoutes.Set(c.now, flow.AckKey{FlowKey: k, ID: m.ID}, from)
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -98,7 +98,7 @@
 
 // contentKey identifies requests of about the same run time to the predictor.
 func (s *service) contentKey(m *message.Message) uint64 {
-	return ids.Mix(s.hash, ids.Mix(m.Path, uint64(m.Code)))
+	return ids.Mix(s.hash, ids.Mix(m.PathHash, uint64(m.Code)))
 }
 
 // runKey is the content key of a first block. A follow-up block takes a
@@ -122,7 +122,7 @@
 	s := a.svc
 	*r = request{
 		exchange: a.exchange, hash: a.hash, raw: append(r.raw[:0], a.m.Raw...),
-		code: a.m.Code, path: a.m.Path, block1: a.m.Block1, hops: a.hops,
+		code: a.m.Code, path: a.m.PathHash, block1: a.m.Block1, hops: a.hops,
 		key: s.runKey(a.m), content: s.contentKey(a.m),
 		idempotent: s.idempotent&(1<<a.m.Code) != 0,
 		partner:    s.partnerOf(a.m.Host, a.caller),
--- a/internal/core/respond.go
+++ b/internal/core/respond.go
@@ -116,7 +116,7 @@
 // of path, to this instance.
 func (c *Core) ackRoute(s *service, caller ids.Endpoint, id uint16, path uint64, home ids.Instance) {
 	b := c.peer(s)
-	b.ackRoute = peerwire.AckRoute{Service: s.name, Caller: b.address(caller), ID: id, Path: path}
+	b.ackRoute = peerwire.AckRoute{Service: s.name, Caller: b.address(caller), ID: id, PathHash: path}
 	b.message.AckRoute = &b.ackRoute
 	c.send(home, b)
 }
--- a/internal/core/service.go
+++ b/internal/core/service.go
@@ -197,7 +197,7 @@
 	}
 	*l = peerwire.Load{Service: s.name, Backlog: uint16(min(s.backlog(), 1<<16-1)), Refuse: !c.accepting()}
 	l.Slots, l.Long = uint16(s.pool.Usable()), uint16(s.pool.LongInUse())
-	l.LongKey, l.LongRun = s.longKey, uint32(s.longRun/time.Millisecond)
+	l.LongKey, l.LongDurationMS = s.longKey, uint32(s.longRun/time.Millisecond)
 	if c.accepting() {
 		l.Free = uint16(max(0, s.pool.Free(spread.Short)))
 		l.Refuse = l.Free == 0 && !c.fits(s, spread.Short, 0)
@@ -216,7 +216,7 @@
 		p.free, p.backlog, p.refuse, p.heard = int(l.Free), int(l.Backlog), l.Refuse, c.now
 		p.slots, p.longs = int(l.Slots), int(l.Long)
 		if s.pool != nil {
-			s.pool.ImportRunTime(l.LongKey, time.Duration(l.LongRun)*time.Millisecond)
+			s.pool.ImportRunTime(l.LongKey, time.Duration(l.LongDurationMS)*time.Millisecond)
 		}
 	}
 }
--- a/internal/core/snapshot.go
+++ b/internal/core/snapshot.go
@@ -129,7 +129,7 @@
 	c.refresh(s)
 	code := methods[q.Method]
 	a := arrival{exchange: exchange{svc: s, caller: q.Caller}, hash: ids.HashEndpoint(q.Caller),
-		m: &message.Message{Code: code, Path: message.HashPath(q.Path), Host: []byte(q.Host)}}
+		m: &message.Message{Code: code, PathHash: message.HashPath(q.Path), Host: []byte(q.Host)}}
 	x := Explanation{Known: true, Class: "short", Idempotent: s.idempotent&(1<<code) != 0}
 	x.Home, _ = c.home(s, a.hash)
 	partner := s.partnerOf(a.m.Host, q.Caller)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -201,9 +201,9 @@
 	s := &d.settings
 	d.addresses = newAddresses(s.Seeds)
 	d.links = link.New(link.Config{
-		Self: s.Instance, Source: s.PeerListen.Addr(), Credentials: credentials, Budget: s.Link.ControlBudget, Start: s.Link.StartBytes, Queue: s.Link.Queue,
+		Self: s.Instance, LocalAddr: s.PeerListen.Addr(), Credentials: credentials, ControlBytesPerSecond: s.Link.ControlBudget, StartupBytes: s.Link.StartBytes, QueueCapacity: s.Link.Queue,
 		DataIdle: s.Link.DataIdle, Log: d.log, Metrics: d.metrics,
-		Address: d.addresses.lookup,
+		LookupAddress: d.addresses.lookup,
 		Receive: func(m *peerwire.Message) {
 			if m.Lane() == peerwire.Data {
 				d.messages.Push(m)
--- a/internal/link/bench_test.go
+++ b/internal/link/bench_test.go
@@ -58,7 +58,7 @@
 	defer b.StartTimer()
 	f := newFleet(b)
 	credentials := f.credentials("a")
-	quiet := func(c *Config) { c.Queue, c.Receive = 1024, func(*peerwire.Message) {} }
+	quiet := func(c *Config) { c.QueueCapacity, c.Receive = 1024, func(*peerwire.Message) {} }
 	var receivers []*Manager
 	for i := range n {
 		m, _ := f.start(ids.Instance(fmt.Sprint("p", i)), quiet)
--- a/internal/link/lane.go
+++ b/internal/link/lane.go
@@ -202,7 +202,7 @@
 			return
 		}
 	}
-	if len(l.bulk) >= l.m.config.Queue {
+	if len(l.bulk) >= l.m.config.QueueCapacity {
 		l.m.counts.queueFull.Add(1)
 		return
 	}
@@ -320,14 +320,14 @@
 
 func (l *lane) dial() error {
 	l.m.counts.dials.Add(1)
-	address, ok := l.m.config.Address(l.key.peer)
+	address, ok := l.m.config.LookupAddress(l.key.peer)
 	if !ok {
 		return eris.Errorf("dial link to %s: address unknown", l.key.peer)
 	}
 	ctx, cancel := context.WithTimeout(l.m.ctx, dialTimeout)
 	defer cancel()
 	dialer := &net.Dialer{}
-	if ip := l.m.config.Source; ip.IsValid() && !ip.IsUnspecified() {
+	if ip := l.m.config.LocalAddr; ip.IsValid() && !ip.IsUnspecified() {
 		dialer.LocalAddr = net.TCPAddrFromAddrPort(netip.AddrPortFrom(ip, 0))
 	}
 	client := &http.Client{Transport: &http.Transport{
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -51,17 +51,17 @@
 
 // Config of a Manager.
 type Config struct {
-	Self        ids.Instance
-	Source      netip.Addr // from which links are dialled; unspecified: any
-	Credentials Credentials
-	Budget      int           // control bytes a second
-	Start       int           // control bytes beyond the budget after the start
-	Queue       int           // messages for one peer and lane
-	DataIdle    time.Duration // an unused data lane is closed after this
-	Log         *slog.Logger
-	Metrics     *telemetry.Registry
+	Self                  ids.Instance
+	LocalAddr             netip.Addr // from which links are dialled; unspecified: any
+	Credentials           Credentials
+	ControlBytesPerSecond int           // control bytes a second
+	StartupBytes          int           // control bytes beyond the budget after the start
+	QueueCapacity         int           // messages for one peer and lane
+	DataIdle              time.Duration // an unused data lane is closed after this
+	Log                   *slog.Logger
+	Metrics               *telemetry.Registry
 	// Address returns where a peer listens, false when unknown.
-	Address func(ids.Instance) (string, bool)
+	LookupAddress func(ids.Instance) (string, bool)
 	// Receive takes a message from a peer. It is called from several
 	// goroutines and must not block.
 	Receive func(*peerwire.Message)
@@ -125,13 +125,13 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	m := &Manager{
 		config: config,
-		budget: NewBudget(config.Budget),
+		budget: NewBudget(config.ControlBytesPerSecond),
 		ctx:    ctx,
 		cancel: cancel,
 		lanes:  make(map[laneKey]*lane),
 		counts: newCounters(config.Metrics),
 	}
-	m.budget.Grant(config.Start)
+	m.budget.Grant(config.StartupBytes)
 	m.server = &http.Server{
 		Handler:           http.HandlerFunc(m.accept),
 		TLSConfig:         config.Credentials.server(),
@@ -139,7 +139,7 @@
 		MaxHeaderBytes:    8 << 10,
 		ErrorLog:          slog.NewLogLogger(config.Log.Handler(), slog.LevelDebug),
 	}
-	config.Metrics.Gauge("link_control_budget_bytes_per_second", func() any { return config.Budget })
+	config.Metrics.Gauge("link_control_budget_bytes_per_second", func() any { return config.ControlBytesPerSecond })
 	config.Metrics.Gauge("link_control_budget_owed_bytes", func() any { return m.budget.Owed() })
 	config.Metrics.Gauge("link_open_connections", func() any { return m.Open() })
 	return m
@@ -186,7 +186,7 @@
 	}
 	l := m.lanes[key]
 	if l == nil {
-		l = &lane{m: m, key: key, queue: make(chan *outgoing, m.config.Queue)}
+		l = &lane{m: m, key: key, queue: make(chan *outgoing, m.config.QueueCapacity)}
 		m.lanes[key] = l
 		m.tasks.Go(l.run)
 	}
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -59,8 +59,8 @@
 
 func (f *fleet) start(id ids.Instance, change func(*Config)) (*Manager, chan *peerwire.Message) {
 	got := make(chan *peerwire.Message, 1<<16)
-	config := Config{Self: id, Credentials: f.credentials(id), Budget: 1 << 20, Queue: 4096, DataIdle: time.Minute,
-		Log: slog.New(slog.DiscardHandler), Metrics: telemetry.NewRegistry(), Address: f.address,
+	config := Config{Self: id, Credentials: f.credentials(id), ControlBytesPerSecond: 1 << 20, QueueCapacity: 4096, DataIdle: time.Minute,
+		Log: slog.New(slog.DiscardHandler), Metrics: telemetry.NewRegistry(), LookupAddress: f.address,
 		Receive: func(m *peerwire.Message) { got <- m }}
 	if change != nil {
 		change(&config)
@@ -169,8 +169,8 @@
 	receive(t, got)
 	b.Close()
 	credentials := b.config.Credentials
-	again := New(Config{Self: "b", Credentials: credentials, Budget: 1, Queue: 1, Log: slog.New(slog.DiscardHandler),
-		Metrics: telemetry.NewRegistry(), Address: f.address, Receive: b.config.Receive})
+	again := New(Config{Self: "b", Credentials: credentials, ControlBytesPerSecond: 1, QueueCapacity: 1, Log: slog.New(slog.DiscardHandler),
+		Metrics: telemetry.NewRegistry(), LookupAddress: f.address, Receive: b.config.Receive})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	f.set("b", l.Addr().String())
@@ -287,7 +287,7 @@
 func TestSmallControlMessageOvertakes(t *testing.T) {
 	f := newFleet(t)
 	_, got := f.start("b", nil)
-	a, _ := f.start("a", func(c *Config) { c.Budget = 2048 })
+	a, _ := f.start("a", func(c *Config) { c.ControlBytesPerSecond = 2048 })
 	delta := func(n int) *peerwire.Message {
 		return &peerwire.Message{From: "a", ConfigDelta: &peerwire.ConfigDelta{Documents: []peerwire.Document{{Key: "k", Value: make([]byte, n)}}}}
 	}
--- a/internal/message/codec.go
+++ b/internal/message/codec.go
@@ -98,7 +98,7 @@
 	}
 	m.Token.Len = uint8(copy(m.Token.Bytes[:], c.msg.Token))
 	c.view(m)
-	m.Path = c.pathHash()
+	m.PathHash = c.pathHash()
 	m.Digest = c.digest()
 	return nil
 }
@@ -186,7 +186,7 @@
 	return c.hash.Sum64()
 }
 
-// HashPath returns the value that Decode gives Message.Path for the segments
+// HashPath returns the value that Decode gives Message.PathHash for the segments
 // of path, which are separated by slashes.
 func HashPath(path string) uint64 {
 	c := codecs.Get().(*codec)
--- a/internal/message/codec_test.go
+++ b/internal/message/codec_test.go
@@ -44,7 +44,7 @@
 	assert.Equal(t, string(m.Echo), "token")
 	assert.Equal(t, m.Block2, Block{Present: true, Num: 1, More: true, SZX: 6})
 	assert.Assert(t, m.HasObserve && m.Observe == 9 && m.MaxAge == 60)
-	assert.Equal(t, m.Path, HashPath("/claims"))
+	assert.Equal(t, m.PathHash, HashPath("/claims"))
 }
 
 // Guards against a retry with a token that looks like another request, and
@@ -133,7 +133,7 @@
 		assert.NilError(t, err)
 		assert.NilError(t, Decode(out, &again))
 		assert.Equal(t, again.Digest, m.Digest)
-		assert.Equal(t, again.Path, m.Path)
+		assert.Equal(t, again.PathHash, m.PathHash)
 	})
 }
 
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -61,17 +61,17 @@
 // the datagram; whoever keeps them beyond the call that delivered the message
 // copies them.
 type Message struct {
-	Type    Type
-	Code    Code
-	ID      uint16
-	Token   Token
-	Raw     []byte // the datagram as received
-	Echo    []byte // Echo option (RFC 9175), nil when absent
-	Host    []byte // Uri-Host option, nil when absent
-	ETag    []byte // ETag option, nil when absent
-	Path    uint64 // hash of the Uri-Path options
-	Digest  uint64 // hash of code, options except Echo, and payload
-	Observe uint32
+	Type     Type
+	Code     Code
+	ID       uint16
+	Token    Token
+	Raw      []byte // the datagram as received
+	Echo     []byte // Echo option (RFC 9175), nil when absent
+	Host     []byte // Uri-Host option, nil when absent
+	ETag     []byte // ETag option, nil when absent
+	PathHash uint64 // hash of the Uri-Path options
+	Digest   uint64 // hash of code, options except Echo, and payload
+	Observe  uint32
 	// HasObserve tells whether the Observe option is present.
 	HasObserve bool
 	MaxAge     uint32 // seconds; 60 when the option is absent (RFC 7252 section 5.10.5)
--- a/internal/peerwire/codec.go
+++ b/internal/peerwire/codec.go
@@ -22,9 +22,9 @@
 
 // Errors of Decode beyond those of the CBOR library.
 var (
-	ErrTooLarge = eris.New("decode peer message: exceeds the size limit")
-	ErrBodies   = eris.New("decode peer message: does not hold exactly one body")
-	ErrFrom     = eris.New("decode peer message: sender missing")
+	ErrTooLarge      = eris.New("decode peer message: exceeds the size limit")
+	ErrBodyCount     = eris.New("decode peer message: does not hold exactly one body")
+	ErrMissingSender = eris.New("decode peer message: sender missing")
 )
 
 var (
@@ -74,10 +74,10 @@
 		return eris.Wrap(err, "decode peer message")
 	}
 	if m.bodies() != 1 {
-		return ErrBodies
+		return ErrBodyCount
 	}
 	if m.From == "" {
-		return ErrFrom
+		return ErrMissingSender
 	}
 	return nil
 }
--- a/internal/peerwire/codec_test.go
+++ b/internal/peerwire/codec_test.go
@@ -11,7 +11,7 @@
 	return []Message{
 		{From: "a", Incarnation: 7, Heartbeat: &Heartbeat{Seq: 1, Clock: 2, Digest: 3, Revision: 4,
 			Updates: []Member{{ID: "b", Incarnation: 1, Lifecycle: Serving, PeerAddr: "127.0.0.1:1"}}}},
-		{From: "a", Load: &Load{Service: "counter", Free: 1, Backlog: 2, Slots: 3, Long: 1, LongKey: 1 << 63, LongRun: 500},
+		{From: "a", Load: &Load{Service: "counter", Free: 1, Backlog: 2, Slots: 3, Long: 1, LongKey: 1 << 63, LongDurationMS: 500},
 			Relay: &Relay{Service: "counter", Caller: "127.0.0.1:9", Datagram: []byte{1, 2}, Hops: 1}},
 		{From: "a", ConfigDelta: &ConfigDelta{Upto: 3, Documents: []Document{{Key: "service/x", Revision: 3, Value: []byte("a")}}}},
 		{From: "a", AdmissionMove: &AdmissionMove{Last: true, Entries: []Admission{{Nonce: []byte("n")}}}},
--- a/internal/peerwire/peerwire.go
+++ b/internal/peerwire/peerwire.go
@@ -50,9 +50,9 @@
 	Slots   uint16      `cbor:"5,keyasint,omitempty"` // usable owned slots
 	Long    uint16      `cbor:"6,keyasint,omitempty"` // owned slots that long requests hold
 	// LongKey is the predictor key of a long request that has just ended after
-	// LongRun ms; 0 in most reports.
-	LongKey uint64 `cbor:"7,keyasint,omitempty"`
-	LongRun uint32 `cbor:"8,keyasint,omitempty"`
+	// LongDurationMS; both are 0 in most reports.
+	LongKey        uint64 `cbor:"7,keyasint,omitempty"`
+	LongDurationMS uint32 `cbor:"8,keyasint,omitempty"`
 }
 
 // Lifecycle is the place of an instance in its life.
@@ -146,10 +146,10 @@
 // ID to the sender or, when Path is not 0, the follow-up blocks of the
 // Block-wise transfer of Path.
 type AckRoute struct {
-	Service ids.Service `cbor:"1,keyasint"`
-	Caller  string      `cbor:"2,keyasint"`
-	ID      uint16      `cbor:"3,keyasint"`
-	Path    uint64      `cbor:"4,keyasint,omitempty"` // message.Message.Path
+	Service  ids.Service `cbor:"1,keyasint"`
+	Caller   string      `cbor:"2,keyasint"`
+	ID       uint16      `cbor:"3,keyasint"`
+	PathHash uint64      `cbor:"4,keyasint,omitempty"` // message.Message.PathHash
 }
 
 // FeedMove hands one feed over to its new home.
