--- a/internal/admission/table.go
+++ b/internal/admission/table.go
@@ -140,15 +140,15 @@
 		}
 		return e, Duplicate
 	}
-	clock, open := now, !t.closed
+	issuerNow, accepting := now, !t.closed
 	if tok.Incarnation != t.self {
-		clock, open = now.Add(t.imports[tok.Incarnation].offset), false
+		issuerNow, accepting = now.Add(t.imports[tok.Incarnation].offset), false
 	}
-	age := clock.Sub(ids.Time(tok.IssuedMS) * ids.Time(time.Millisecond))
+	age := issuerNow.Sub(ids.Time(tok.IssuedMS) * ids.Time(time.Millisecond))
 	switch {
 	case age < -MaxClockSkew || age > NotRunWindow:
 		return nil, OutcomeUnknown
-	case age > TokenLifetime || !open:
+	case age > TokenLifetime || !accepting:
 		return nil, NotRun
 	case t.length >= t.limits.Entries:
 		// "Not run" would be wrong if the same datagram came again after an
--- a/internal/share/maxmin.go
+++ b/internal/share/maxmin.go
@@ -37,11 +37,11 @@
 		return 1
 	})
 	result := make(map[ids.Partner]float64, len(claims))
-	left := max(capacity, 0)
+	remaining := max(capacity, 0)
 	for _, c := range claims {
-		got := min(c.demand, left*c.weight/total)
-		result[c.name] = got
-		left -= got
+		granted := min(c.demand, remaining*c.weight/total)
+		result[c.name] = granted
+		remaining -= granted
 		total -= c.weight
 	}
 	return result
--- a/internal/share/queue.go
+++ b/internal/share/queue.go
@@ -126,12 +126,12 @@
 
 // RemoveIf removes the items for which f returns true and passes each of them
 // to removed. They are not charged.
-func (q *Queue[T]) RemoveIf(f func(T) bool, removed func(T)) {
+func (q *Queue[T]) RemoveIf(match func(T) bool, removed func(T)) {
 	for _, p := range q.list {
 		if p.heapIndex < 0 {
 			continue
 		}
-		q.length -= p.items.removeIf(f, removed)
+		q.length -= p.items.removeIf(match, removed)
 		if p.items.len() == 0 {
 			q.heapRemove(p)
 		}
--- a/internal/share/returns.go
+++ b/internal/share/returns.go
@@ -29,15 +29,15 @@
 	// Bookings beyond Max fall on Max; to go on counting them would delay
 	// later ones for nothing.
 	r.nextReturn = min(max(r.nextReturn, now.Add(r.Min)), now.Add(r.Max))
-	d := r.nextReturn.Sub(now)
-	if part := rate * r.LoadFraction; part > 0 {
-		r.nextReturn = r.nextReturn.Add(time.Duration(float64(time.Second) / part))
+	delay := r.nextReturn.Sub(now)
+	if returnRate := rate * r.LoadFraction; returnRate > 0 {
+		r.nextReturn = r.nextReturn.Add(time.Duration(float64(time.Second) / returnRate))
 	}
-	d = d/2 + time.Duration(rng.Float64()*float64(d))
-	least, most := uint32((r.Min+time.Second-1)/time.Second), uint32(r.Max/time.Second)
-	whole := uint32(d / time.Second)
-	if rng.Float64() < (d % time.Second).Seconds() {
-		whole++
+	delay = delay/2 + time.Duration(rng.Float64()*float64(delay))
+	minSeconds, maxSeconds := uint32((r.Min+time.Second-1)/time.Second), uint32(r.Max/time.Second)
+	seconds := uint32(delay / time.Second)
+	if rng.Float64() < (delay % time.Second).Seconds() {
+		seconds++
 	}
-	return max(min(whole, most), least, 1)
+	return max(min(seconds, maxSeconds), minSeconds, 1)
 }
--- a/internal/share/ring.go
+++ b/internal/share/ring.go
@@ -34,21 +34,21 @@
 
 // removeIf keeps the order of the remaining items and returns how many were
 // removed.
-func (r *ring[T]) removeIf(f func(T) bool, removed func(T)) int {
+func (r *ring[T]) removeIf(match func(T) bool, removed func(T)) int {
 	kept := 0
 	for i := range r.n {
 		e := *r.at(i)
-		if f(e.item) {
+		if match(e.item) {
 			removed(e.item)
 			continue
 		}
 		*r.at(kept) = e
 		kept++
 	}
-	gone := r.n - kept
+	removedCount := r.n - kept
 	for i := kept; i < r.n; i++ {
 		*r.at(i) = entry[T]{}
 	}
 	r.n = kept
-	return gone
+	return removedCount
 }
--- a/internal/spread/assign.go
+++ b/internal/spread/assign.go
@@ -7,26 +7,26 @@
 	"arbutusdock.example/arbutusdock/internal/ids"
 )
 
-// instance is a serving instance with the hash that ranks it.
+// instance is a serving instance with its hash for rendezvous hashing.
 type instance struct {
 	id   ids.Instance
 	hash uint64
 }
 
-// placement names the two owners of a target: the first owns the slots with
-// even numbers, the second those with odd numbers. With a single serving
-// instance both are the same; without any they are empty.
+// placement records the two owners of a target. The first owns the even-numbered
+// slots, the second the odd-numbered ones. With a single serving instance both
+// owners are that instance; with none both are empty.
 type placement struct {
 	key    uint64 // hash of service and target
 	slots  int
 	owner  [2]ids.Instance
-	weight [2]uint64 // rendezvous weight of owner, 0 when it owns no slot
+	weight [2]uint64 // rendezvous weight of each owner, 0 when it owns no slot
 }
 
-// slotsOf returns how many slots the n-th owner of a target has.
+// ownerSlots returns the number of slots of the n-th owner (0 or 1) of a target.
 func ownerSlots(slots, n int) int { return (slots + 1 - n) / 2 }
 
-// owned returns how many slots of the target id owns.
+// ownedBy returns the number of slots of the target that instance id owns.
 func (p *placement) ownedBy(id ids.Instance) int {
 	n := 0
 	for i, owner := range p.owner {
@@ -37,28 +37,29 @@
 	return n
 }
 
-// assignment is the ownership of all slots of one service. It depends on the
-// set of instances and the set of targets only, never on their history, so
-// that instances with equal views agree.
+// assignment is the ownership of all slots of one service. It is a function of
+// the current instances and targets only, independent of earlier states, so that
+// instances with the same membership list compute the same owners.
 //
 // Plain rendezvous hashing gives each of 5 instances 1 to 11 of 30 slots,
-// while each receives a fifth of the requests. Ownership is therefore limited
-// to limit slots per instance: each target takes the two highest ranked
-// instances that are still below it. An instance that could no longer reach
-// its part with the targets that remain is taken first; otherwise the last
-// targets find room at a single instance, and some instance ends above the
-// limit (counts of 7, 7, 6, 6 and 4 were seen).
+// while each receives a fifth of the requests. Each instance may therefore own at
+// most maxOwned slots: a target is assigned to the two highest ranked instances
+// that are still below this limit. An instance that could not reach its minimum
+// with the remaining targets alone takes precedence. Without this rule only one
+// instance has room for the last targets, and some instance exceeds the limit
+// (counts of 7, 7, 6, 6 and 4 were seen).
 type assignment struct {
-	targets    []placement // in order of key
-	maxOwned   int
-	totalSlots int // slots
-	// forced tells that a slot had to go to an instance at its limit, so that
-	// any change of the instances may change the result.
+	targets    []placement // sorted by key
+	maxOwned   int         // limit of owned slots per instance
+	totalSlots int
+	// forced is set when an owner was not selected by rank alone: it was below its
+	// minimum, or no instance was below the limit. Any change of the instances may
+	// then change the result.
 	forced     bool
 	ownedSlots map[ids.Instance]int
 }
 
-// limitFor returns the greatest number of slots that one of n instances owns.
+// maxOwnedFor returns the maximum number of slots per instance with n instances.
 func (a *assignment) maxOwnedFor(n int) int {
 	most := 1
 	for i := range a.targets {
@@ -67,7 +68,7 @@
 	return max(most, (a.totalSlots+n-1)/max(n, 1))
 }
 
-// assign computes the ownership from scratch in O(targets × instances).
+// assign recomputes the whole ownership in O(targets × instances).
 func (a *assignment) assign(instances []instance) {
 	a.totalSlots = 0
 	for i := range a.targets {
@@ -75,79 +76,81 @@
 	}
 	a.maxOwned = a.maxOwnedFor(len(instances))
 	a.forced = false
-	slack, least := a.spareCapacity(len(instances)), a.totalSlots/max(len(instances), 1)
-	after := 0 // slots that one instance could get of the targets not yet placed
+	spare, minOwned := a.spareCapacity(len(instances)), a.totalSlots/max(len(instances), 1)
+	laterSlots := 0 // maximum number of slots that one instance can get from the targets not yet placed
 	for i := range a.targets {
-		after += ownerSlots(a.targets[i].slots, 0)
+		laterSlots += ownerSlots(a.targets[i].slots, 0)
 	}
-	left, missing := a.totalSlots, least*len(instances) // slots not yet placed, and needed to give least to all
+	unplaced, shortfall := a.totalSlots, minOwned*len(instances) // slots not yet placed, and slots still needed for every instance to own minOwned
 	a.ownedSlots = make(map[ids.Instance]int)
-	used := make([]int, len(instances))
+	owned := make([]int, len(instances))
 	for i := range a.targets {
 		t := &a.targets[i]
 		t.owner, t.weight = [2]ids.Instance{}, [2]uint64{}
 		if len(instances) == 0 {
 			continue
 		}
-		after -= ownerSlots(t.slots, 0)
-		due, wanting := max(a.maxOwned-slack, least)-after, 0
-		if missing >= left {
-			wanting = least
+		laterSlots -= ownerSlots(t.slots, 0)
+		urgentBelow, preferBelow := max(a.maxOwned-spare, minOwned)-laterSlots, 0
+		if shortfall >= unplaced {
+			preferBelow = minOwned
 		}
-		first, second := a.pickOwners(t, instances, used, due, wanting)
+		first, second := a.pickOwners(t, instances, owned, urgentBelow, preferBelow)
 		if first < 0 {
-			first = a.leastLoaded(instances, used, -1)
+			first = a.leastLoaded(instances, owned, -1)
 		}
-		left -= t.slots
-		missing -= a.assignOwner(t, 0, first, instances, used, least)
+		unplaced -= t.slots
+		shortfall -= a.assignOwner(t, 0, first, instances, owned, minOwned)
 		if ownerSlots(t.slots, 1) == 0 {
 			continue
 		}
 		if len(instances) == 1 {
 			second = first
 		} else if second < 0 || second == first {
-			second = a.leastLoaded(instances, used, first)
+			second = a.leastLoaded(instances, owned, first)
 		}
-		missing -= a.assignOwner(t, 1, second, instances, used, least)
+		shortfall -= a.assignOwner(t, 1, second, instances, owned, minOwned)
 	}
 }
 
-// give makes instance i the n-th owner of t. It returns how many slots of these
-// the instance needed to reach least.
-func (a *assignment) assignOwner(t *placement, n, i int, instances []instance, used []int, least int) int {
+// assignOwner makes instance i the n-th owner of t. It returns how many of the
+// assigned slots count towards the instance's minimum of minOwned.
+func (a *assignment) assignOwner(t *placement, n, i int, instances []instance, owned []int, minOwned int) int {
 	t.owner[n] = instances[i].id
 	t.weight[n] = rendezvousWeight(instances[i].hash, t.key)
-	needed := min(max(least-used[i], 0), ownerSlots(t.slots, n))
-	used[i] += ownerSlots(t.slots, n)
-	a.ownedSlots[t.owner[n]] = used[i]
+	needed := min(max(minOwned-owned[i], 0), ownerSlots(t.slots, n))
+	owned[i] += ownerSlots(t.slots, n)
+	a.ownedSlots[t.owner[n]] = owned[i]
 	return needed
 }
 
-// slack returns how many slots more than there are n instances could own.
+// spareCapacity returns by how much the combined limit of n instances exceeds the
+// number of slots.
 func (a *assignment) spareCapacity(n int) int { return a.maxOwnedFor(n)*n - a.totalSlots }
 
-// rank returns the rendezvous weight of an instance for a target. Its two
-// highest bits are 0.
+// rendezvousWeight returns the weight of an instance for a target. Its two highest
+// bits are 0, so that pickOwners can use them for precedence.
 func rendezvousWeight(instance, target uint64) uint64 { return ids.Mix(instance, target) >> 2 }
 
-// pick returns the two highest ranked instances that are below the limit, -1
-// for one that does not exist. Both are given room for the part of the first
-// owner, which is the larger one. Instances with fewer than due slots rank
-// before those with fewer than wanting, and these before all others.
-func (a *assignment) pickOwners(t *placement, instances []instance, used []int, due, wanting int) (first, second int) {
+// pickOwners returns the indices of the two highest ranked instances that are
+// below the limit, or -1 where there is none. Both must have room for the slots of
+// the first owner, which gets at least as many as the second. Instances with fewer
+// than urgentBelow slots rank above those with fewer than preferBelow, and these
+// above all others.
+func (a *assignment) pickOwners(t *placement, instances []instance, owned []int, urgentBelow, preferBelow int) (first, second int) {
 	first, second = -1, -1
 	var firstWeight, secondWeight uint64
-	room := a.maxOwned - ownerSlots(t.slots, 0)
+	maxBefore := a.maxOwned - ownerSlots(t.slots, 0)
 	for i := range instances {
 		w := rendezvousWeight(instances[i].hash, t.key)
-		if used[i] < due {
+		if owned[i] < urgentBelow {
 			w |= 1 << 63
 			a.forced = true
-		} else if used[i] < wanting {
+		} else if owned[i] < preferBelow {
 			w |= 1 << 62
 			a.forced = true
 		}
-		if w <= secondWeight && second >= 0 || used[i] > room {
+		if w <= secondWeight && second >= 0 || owned[i] > maxBefore {
 			continue
 		}
 		if first < 0 || w > firstWeight {
@@ -160,23 +163,23 @@
 	return first, second
 }
 
-// spill returns the instance other than not with the fewest slots.
-func (a *assignment) leastLoaded(instances []instance, used []int, not int) int {
+// leastLoaded returns the index of the instance with the fewest slots, excluding
+// index except. It is used when no instance is below the limit.
+func (a *assignment) leastLoaded(instances []instance, owned []int, except int) int {
 	a.forced = true
 	least := -1
 	for i := range instances {
-		if i != not && (least < 0 || used[i] < used[least]) {
+		if i != except && (least < 0 || owned[i] < owned[least]) {
 			least = i
 		}
 	}
 	return least
 }
 
-// affected reports whether a change of the instances can change the result.
-// With a slack of at least the limit and fewer slots than instances no instance
-// is ever due.
-// An instance that owns no slot was never considered, and one that ranks below
-// both owners of every target would not be.
+// affectedBy reports whether a change to n instances can change the result. No
+// instance takes precedence when the spare capacity is at least the limit and there
+// are fewer slots than instances. An instance without slots can then leave, and one
+// that ranks below both owners of every target can join, without any effect.
 func (a *assignment) affectedBy(n int, joined, left []instance) bool {
 	if a.forced || a.maxOwnedFor(n) != a.maxOwned || a.spareCapacity(n) < a.maxOwned || a.totalSlots >= n {
 		return true
@@ -198,26 +201,27 @@
 	return false
 }
 
-// virtualNode stands for a part of the owned slots of an instance in the
-// choice of homes.
+// virtualNode represents a part of the owned slots of an instance in home
+// selection.
 type virtualNode struct {
 	hash  uint64
 	owner ids.Instance
 }
 
 const (
-	// An instance with the greatest number of slots has this many nodes, one
-	// with fewer has a proportional part. A node per slot moved 10% of the flows
-	// of the surviving instances when one of 5 left, because these took over
-	// its slots and so got new nodes.
+	// maxVirtualNodes is the number of virtual nodes of an instance that owns
+	// maxOwned slots; with fewer slots the number is proportional. With a node per
+	// slot, 10% of the flows of the remaining instances moved when one of 5 left,
+	// because these took over its slots and so got new nodes.
 	maxVirtualNodes = 4
-	// homeWindow bounds the cost of Home at 29,000 targets: a flow ranks the
-	// nodes of one window on a hash ring. Up to this number all are ranked.
+	// homeWindow is the maximum number of nodes that are ranked for a flow. It
+	// bounds the cost of Home at 29,000 targets: with more nodes, only this many
+	// consecutive ones on a hash ring are ranked.
 	homeWindow = 64
 )
 
-// homes is the choice of homes of one service by rendezvous hashing, weighted
-// by owned slots.
+// homeSelector maps the flows of one service to their home instances by rendezvous
+// hashing, weighted by owned slots.
 type homeSelector struct{ nodes []virtualNode }
 
 func (h *homeSelector) build(a *assignment) {
@@ -233,7 +237,7 @@
 	})
 }
 
-// pick returns the owner of the highest ranked node of the flow's window.
+// pick returns the owner of the highest ranked node for the flow.
 func (h *homeSelector) pick(flow uint64) (ids.Instance, bool) {
 	n := len(h.nodes)
 	if n == 0 {
--- a/internal/spread/health.go
+++ b/internal/spread/health.go
@@ -81,7 +81,7 @@
 }
 
 // clear ends suspicion. A target that has recovered starts slowly.
-func (p *Pool) clearSuspicion(now ids.Time, i int32, slowly bool) {
+func (p *Pool) clearSuspicion(now ids.Time, i int32, slowStart bool) {
 	t := p.targets[i]
 	t.suspicion.Fire(chart.SuspicionRefute)
 	t.consecutiveFailures, t.failedChecks = 0, 0
@@ -94,7 +94,7 @@
 		}
 	}
 	// A draining target stays so: restart would withdraw the drain.
-	if slowly && p.spread.SlowStart > 0 && t.lifecycle.State() == chart.BackendServing {
+	if slowStart && p.spread.SlowStart > 0 && t.lifecycle.State() == chart.BackendServing {
 		if _, ok := t.lifecycle.Fire(chart.BackendRestart); ok {
 			t.slowUntil = now.Add(p.spread.SlowStart)
 		}
@@ -136,12 +136,12 @@
 			p.refresh(now, i)
 		}
 	}()
-	drains := t.lifecycle.State() == chart.BackendDraining
+	wasDraining := t.lifecycle.State() == chart.BackendDraining
 	switch {
-	case h.Draining && !drains:
+	case h.Draining && !wasDraining:
 		t.lifecycle.Fire(chart.BackendDrain)
 		p.recount(now)
-	case !h.Draining && h.Healthy && drains && !t.configDraining:
+	case !h.Draining && h.Healthy && wasDraining && !t.configDraining:
 		p.restart(now, t)
 		p.recount(now)
 	}
--- a/internal/spread/table.go
+++ b/internal/spread/table.go
@@ -9,18 +9,18 @@
 	"arbutusdock.example/arbutusdock/internal/ids"
 )
 
-// Table holds the slot owners of the services of one data centre, and the
-// pools of the slots that self owns.
+// Table holds the slot owners of all services in one data centre, and the pools of
+// the slots that instance self owns.
 type Table struct {
 	self      ids.Instance
 	dc        ids.DataCentre
 	seed      uint64
 	instances []instance // sorted by id
 	services  map[ids.Service]*service
-	pools     []*service // with a pool, in order of name
+	pools     []*service // services with a pool, sorted by name
 }
 
-// service is one service as seen from this data centre.
+// service is the state of one service, limited to the targets in this data centre.
 type service struct {
 	name    ids.Service
 	profile config.Profile
@@ -32,9 +32,10 @@
 	removed bool
 }
 
-// member is a target of a service, owned or not. since is when it was added
-// to a service that was already known; it is 0 for a target that was there
-// when this instance first saw the service, which is taken as established.
+// serviceTarget is a target of a service, whether or not this instance owns slots of
+// it. addedAt is the time at which it was added to an already known service. It is
+// 0 for a target that was part of the service when this instance first received it;
+// such a target is treated as established and skips slow start.
 type serviceTarget struct {
 	config.Target
 	addedAt        ids.Time
@@ -47,8 +48,8 @@
 	return &Table{self: self, dc: dc, seed: seed, services: make(map[ids.Service]*service)}
 }
 
-// SetInstances replaces the serving and trusted instances of the data centre.
-// Only services whose ownership the change can affect are computed again.
+// SetInstances replaces the list of serving, unsuspected instances of the data
+// centre. Ownership is recomputed only for the services that the change can affect.
 func (t *Table) SetInstances(now ids.Time, serving []ids.Instance) {
 	next := make([]instance, 0, len(serving))
 	for _, id := range serving {
@@ -80,8 +81,8 @@
 	return d
 }
 
-// SetService adds or replaces a service. Targets of other data centres and
-// targets without slots are left out.
+// SetService adds or replaces a service. Targets in other data centres and targets
+// without slots are ignored, and so are repeated target names.
 func (t *Table) SetService(now ids.Time, r *config.Resolved) {
 	s := t.services[r.Service.Name]
 	var since ids.Time
@@ -118,8 +119,8 @@
 	t.reassign(now, s)
 }
 
-// RemoveService removes a service. Its pool stays until the last lease and
-// feed have ended.
+// RemoveService removes a service. Its pool is kept until the last lease and feed
+// have ended.
 func (t *Table) RemoveService(name ids.Service) {
 	s := t.services[name]
 	if s == nil {
@@ -135,7 +136,7 @@
 	t.indexPools()
 }
 
-// reassign computes the ownership of s and updates its pool.
+// reassign recomputes the ownership of s and updates its pool.
 func (t *Table) reassign(now ids.Time, s *service) {
 	s.assign(t.instances)
 	s.homes.build(&s.assignment)
@@ -152,8 +153,8 @@
 	}
 }
 
-// indexPools drops pools and services that are no longer needed and keeps the
-// rest in order of name, so that Tick is deterministic.
+// indexPools deletes pools and services that are no longer needed and rebuilds the
+// list of pools, sorted by name so that Tick is deterministic.
 func (t *Table) indexPools() {
 	t.pools = t.pools[:0]
 	for name, s := range t.services {
@@ -169,8 +170,8 @@
 	slices.SortFunc(t.pools, func(a, b *service) int { return cmp.Compare(a.name, b.name) })
 }
 
-// Home returns the home of a flow: the owner of the highest ranked slot for
-// callerHash. ok is false when no instance owns a slot of s.
+// Home returns the home instance of a flow: the owner of the highest ranked virtual
+// node for callerHash. ok is false when no instance owns a slot of s.
 func (t *Table) Home(s ids.Service, callerHash uint64) (home ids.Instance, ok bool) {
 	if e := t.services[s]; e != nil {
 		return e.homes.pick(callerHash)
@@ -187,7 +188,7 @@
 	return nil
 }
 
-// SlotShare returns the part of the slots of s that id owns, 0 to 1.
+// SlotShare returns the fraction of the slots of s that instance id owns, 0 to 1.
 func (t *Table) SlotShare(s ids.Service, id ids.Instance) float64 {
 	e := t.services[s]
 	if e == nil || e.totalSlots == 0 {
@@ -196,8 +197,8 @@
 	return float64(e.ownedSlots[id]) / float64(e.totalSlots)
 }
 
-// Pool returns the pool of s. It is nil when no slot of s is owned and no
-// lease or feed is left from the time when one was.
+// Pool returns the pool of s. It is nil when this instance owns no slot of s and all
+// leases and feeds on previously owned slots have ended.
 func (t *Table) Pool(s ids.Service) *Pool {
 	if e := t.services[s]; e != nil {
 		return e.pool
@@ -205,8 +206,8 @@
 	return nil
 }
 
-// Tick advances the timers of all pools and calls due for each health check
-// that is due. It is called every 10 ms.
+// Tick processes the timers of all pools and calls due for each health check that
+// is due. It must be called every 10 ms.
 func (t *Table) Tick(now ids.Time, due func(s ids.Service, target ids.Target, url string)) {
 	expired := false
 	for _, s := range t.pools {
--- a/internal/spread/types.go
+++ b/internal/spread/types.go
@@ -1,6 +1,7 @@
-// Package spread decides which instance owns which slot of a backend server
-// target, which instance is the home of a flow, and which owned slot serves
-// the next request. It performs no I/O and reads no clock.
+// Package spread assigns the slots of backend server targets to instances, maps
+// each flow to its home instance, and selects the owned slot that serves the next
+// request. A slot is the capacity of a target for one concurrent request. The
+// package performs no I/O and reads no clock.
 package spread
 
 import (
@@ -9,7 +10,7 @@
 	"arbutusdock.example/arbutusdock/internal/ids"
 )
 
-// Class separates requests by predicted run time.
+// Class is the class of a request by its predicted run time.
 type Class uint8
 
 // Classes of requests.
@@ -18,16 +19,16 @@
 	Long
 )
 
-// Outcome is the result of a request or feed as seen by the slot owner.
+// Outcome is the result of a request or feed, as observed by the slot owner.
 type Outcome uint8
 
 // Outcomes of a request.
 const (
-	Success   Outcome = iota // a response other than 5.03
-	Shed                     // 5.03, not run: the target is alive but full
+	Success   Outcome = iota // any response other than 5.03
+	Shed                     // 5.03: the target is up but has no capacity; the request did not run
 	Timeout                  // no response by the deadline
-	Failure                  // the target could not be reached, or reset
-	Cancelled                // ended by the caller or the owner; says nothing about the target
+	Failure                  // the target was unreachable or reset the request
+	Cancelled                // ended by the caller or the owner; no evidence about the target
 )
 
 // Lease is the right to run one request in one owned slot, from Acquire to
@@ -35,8 +36,8 @@
 type Lease struct {
 	Target   ids.Target
 	Endpoint ids.Endpoint
-	request  int32  // index of the running request in the pool
-	gen      uint32 // generation of that entry
+	request  int32  // index in Pool.requests
+	gen      uint32 // generation of that entry, to detect reuse
 }
 
 // CheckResult is the result of one active health check of a target.
@@ -44,7 +45,7 @@
 	Target   ids.Target
 	Healthy  bool
 	Draining bool
-	Load     float64 // reported share of slots in use; negative when absent
+	Load     float64 // reported fraction of slots in use; negative when not reported
 	Duration time.Duration
 }
 
@@ -54,7 +55,7 @@
 	Lifecycle string
 	Suspicion string
 	Owned     int // owned slots
-	Usable    int // owned slots that may be used now
+	Usable    int // owned slots that are available now, in use or not
 	InUse     int // requests running in owned slots
 	Feeds     int
 }
