--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -20,8 +20,8 @@
 	return Token{KeyID: 1, Incarnation: 7, IssuedMS: uint64(issued / 1e6), Nonce: Nonce{n}}
 }
 
-// Guards against a token being accepted for another service, after a change of
-// any byte, or under a retired key.
+// Guards against a token that is accepted for another service, after a change of any byte,
+// or with a retired key.
 func TestParseAcceptsOnlyOwnTokens(t *testing.T) {
 	k := keyring(t, 1)
 	var b [TokenSize]byte
@@ -44,8 +44,8 @@
 	assert.Equal(t, v, UnknownKey)
 }
 
-// Guards against a second execution, a wrong "not run", and an answer to
-// another request under the same token.
+// Guards against a second execution, a wrong NotRun decision, and a response to a
+// different request that reuses the token.
 func TestAdmitDecidesByAge(t *testing.T) {
 	tab := NewTable(7)
 	now := 1000 * second
@@ -62,8 +62,8 @@
 	}
 }
 
-// Guards against an eviction while the absence of an entry still proves that
-// nothing ran, with the greatest accepted clock error.
+// Guards against an eviction while a missing entry still proves that the request has not
+// run, with an issuer clock 29 s ahead, close to MaxClockSkew.
 func TestEvictionLeavesNoWindowForSecondExecution(t *testing.T) {
 	tab := NewTable(7)
 	now := 1000 * second
@@ -78,8 +78,8 @@
 	assert.Equal(t, tab.Len(), 0)
 }
 
-// Guards against a successor that forgets an execution, runs a request of its
-// predecessor, or answers before all parts have arrived.
+// Guards against a successor that loses the outcome of a request, runs a request with a
+// token of its predecessor, or decides on such tokens before all parts have arrived.
 func TestHandoverKeepsOutcomes(t *testing.T) {
 	now := 1000 * second
 	old, next := NewTable(7), NewTable(9)
@@ -104,7 +104,7 @@
 		assert.Equal(t, done, i == 2)
 	}
 	assert.Assert(t, next.AuthoritativeFor(7))
-	later := now - ids.Time(time.Hour) + 2*second // the successor's clock is an hour behind
+	later := now - ids.Time(time.Hour) + 2*second // by the successor's clock, which is an hour behind
 	for n, want := range []State{Answered, Answered, Refused, Unknown} {
 		e, d := next.Admit(later, token(byte(n), now), uint64(n))
 		assert.Equal(t, d, Duplicate)
@@ -120,12 +120,12 @@
 	assert.ErrorIs(t, err, ErrMalformedEntry)
 }
 
-// Guards against a wrong "not run" after two handovers between instances whose
-// clocks disagree: the age of a token is that on the clock of its incarnation.
+// Guards against a wrong NotRun decision after two handovers between instances with
+// different clocks. The age of a token must be computed with the clock of its incarnation.
 func TestChainedHandoverKeepsClocks(t *testing.T) {
 	first, middle, third := NewTable(7), NewTable(8), NewTable(9)
 	now := 1000 * second
-	behind, ahead := now-100*second, now+100*second // the same instant on the other clocks
+	behind, ahead := now-100*second, now+100*second // the same point in time by the other clocks
 	first.Close()
 	done, err := middle.Import(behind, first.Export(now)[0])
 	assert.NilError(t, err)
@@ -140,7 +140,7 @@
 	}
 }
 
-// Guards against responses that exceed the memory bound.
+// Guards against stored responses that exceed the memory limit.
 func TestResponsesAreBounded(t *testing.T) {
 	tab := NewTable(7)
 	big := make([]byte, DefaultMaxBytes/2+1)
@@ -152,7 +152,7 @@
 	assert.Equal(t, e.State, Unknown)
 }
 
-// Guards against retries beyond the budget.
+// Guards against more retries than the budget allows.
 func TestRetryBudget(t *testing.T) {
 	b := RetryBudget{Ratio: 0.1}
 	taken := 0
@@ -165,7 +165,7 @@
 	assert.Assert(t, taken >= 90 && taken <= 100, taken)
 }
 
-// Guards against queueing what cannot be served in time.
+// Guards against queueing a request that cannot be served in time.
 func TestLimiter(t *testing.T) {
 	l := Limiter{MaxQueueTime: time.Second, Deadline: 2 * time.Second, MaxLength: 100}
 	assert.Assert(t, l.CanQueue(9, 100*time.Millisecond, 1))
@@ -195,8 +195,8 @@
 	}
 }
 
-// Guards against limits that are not applied: at 1,000 admissions a second the
-// default table is full after 65 s.
+// Guards against limits that are not applied: at 1,000 admissions per second a table with
+// the default limits is full after 65 s.
 func TestLimits(t *testing.T) {
 	const rate, seconds = 1000, 300
 	admitted := func(tab *Table) (n int) {
--- a/internal/admission/handover.go
+++ b/internal/admission/handover.go
@@ -10,19 +10,20 @@
 	"github.com/rotisserie/eris"
 )
 
-// MaxPartBytes bounds the responses in one part of a handover.
+// MaxPartBytes is the approximate maximum size of the entries in one part of a handover.
+// A single entry with a large response may exceed it.
 const MaxPartBytes = 32 << 10
 
-// entryBytes is the approximate size of an entry without its response.
+// entryOverhead is the approximate size of an entry without its response.
 const entryOverhead = 40
 
 // Errors of Import.
 var (
-	ErrNoIncarnation  = eris.New("import admissions: no incarnation given")
+	ErrNoIncarnation  = eris.New("import admissions: part names no incarnation")
 	ErrMalformedEntry = eris.New("import admissions: malformed entry")
 )
 
-// Export returns the table as handover parts. The table must be closed.
+// Export returns the table as the parts of a handover. The table must be closed.
 // Requests that are still running are exported with an unknown outcome.
 func (t *Table) Export(now ids.Time) []*peerwire.AdmissionMove {
 	incarnations := []ids.Incarnation{t.self}
@@ -53,8 +54,8 @@
 	return parts
 }
 
-// StampClocks sets the clocks of the incarnations of p, and of all parts exported
-// with it, to now. It is called each time that the parts are sent.
+// StampClocks sets the clocks of the incarnations in p to their current values, which
+// all parts of an export share. It must be called each time the parts are sent.
 func (t *Table) StampClocks(now ids.Time, p *peerwire.AdmissionMove) {
 	for k, i := range p.Incarnations {
 		p.Clocks[k] = now
@@ -83,12 +84,11 @@
 	return a
 }
 
-// Import enters one part of a table that another instance hands over. The
-// issue time of a token is judged by the clock of the incarnation that it names,
-// also after several handovers. It returns true when all
-// parts have arrived; from then on the table answers for the incarnations. A
-// malformed entry fails the whole part: without it the table would tell that
-// the request has not run.
+// Import adds one part of a table that another instance hands over. It returns true when
+// all parts have arrived; from then on the table is authoritative for the incarnations.
+// The age of a token is computed with the clock of the incarnation that it names, even
+// after several handovers. A malformed entry causes the whole part to be rejected:
+// without the entry the table would report that the request has not run.
 func (t *Table) Import(now ids.Time, p *peerwire.AdmissionMove) (bool, error) {
 	if len(p.Incarnations) == 0 {
 		return false, ErrNoIncarnation
--- a/internal/admission/limit.go
+++ b/internal/admission/limit.go
@@ -4,14 +4,14 @@
 
 // Limiter bounds the queue of one service at one owner.
 type Limiter struct {
-	MaxQueueTime time.Duration // longest wait for a slot
+	MaxQueueTime time.Duration // maximum wait for a slot
 	Deadline     time.Duration // from arrival to response
-	MaxLength    int           // longest queue
+	MaxLength    int           // maximum number of queued requests
 }
 
-// CanQueue reports whether a request may be queued behind backlog others that
-// share slots. run is the mean run time. slots may be a fraction: a partner's
-// part of the owned slots.
+// CanQueue reports whether a request may be queued behind backlog other requests that
+// use the same slots. run is the mean run time. slots may be fractional: it is a
+// partner's share of the owned slots.
 func (l *Limiter) CanQueue(backlog int, run time.Duration, slots float64) bool {
 	if backlog >= l.MaxLength || slots <= 0 {
 		return false
@@ -20,26 +20,26 @@
 	return wait <= l.MaxQueueTime && wait+run <= l.Deadline
 }
 
-// ExpectedWait returns the expected time until a request behind backlog others gets one
-// of slots.
+// ExpectedWait returns the expected queue time of a request behind backlog other
+// requests, for the given number of slots and the mean run time run.
 func ExpectedWait(backlog int, run time.Duration, slots float64) time.Duration {
 	return time.Duration(float64(backlog) * float64(run) / slots)
 }
 
-// maxRetryTokens bounds a burst of retries after a quiet time.
+// maxRetryTokens is the maximum burst of retries after a period without retries.
 const maxRetryTokens = 10
 
-// RetryBudget is a token bucket that is filled by first attempts: retries and
-// retransmissions to backend servers stay within Ratio of them.
+// RetryBudget is a token bucket that is filled by first attempts. It limits retries and
+// retransmissions to backend servers to Ratio times the number of first attempts.
 type RetryBudget struct {
 	Ratio  float64
 	tokens float64
 }
 
-// Deposit counts a first attempt.
+// Deposit adds Ratio tokens for a first attempt.
 func (b *RetryBudget) Deposit() { b.tokens = min(b.tokens+b.Ratio, maxRetryTokens) }
 
-// TryWithdraw takes one retry from the budget.
+// TryWithdraw takes one token for a retry. It returns false when the budget is used up.
 func (b *RetryBudget) TryWithdraw() bool {
 	if b.tokens < 1 {
 		return false
--- a/internal/admission/table.go
+++ b/internal/admission/table.go
@@ -7,33 +7,34 @@
 )
 
 const (
-	// TokenLifetime is the age up to which a token admits a request.
+	// TokenLifetime is the maximum age of a token that admits a request.
 	TokenLifetime = 10 * time.Second
-	// NotRunWindow is the age up to which the absence of an entry proves that
-	// nothing has run under a token.
+	// NotRunWindow is the maximum age of a token for which a missing entry proves that
+	// no request with the token has run.
 	NotRunWindow = 240 * time.Second
-	// EntryLifetime is the time from admission to eviction. It exceeds
-	// EXCHANGE_LIFETIME (247 s, RFC 7252 section 4.8.2) and NotRunWindow plus the
-	// greatest clock error.
+	// EntryLifetime is the time from admission to eviction. It exceeds both
+	// EXCHANGE_LIFETIME (247 s, RFC 7252 section 4.8.2) and NotRunWindow plus
+	// MaxClockSkew.
 	EntryLifetime = 300 * time.Second
-	// MaxClockSkew is the greatest clock error of an issuer. A token from further
-	// in the future could outlive its entry.
+	// MaxClockSkew is the maximum clock error of an issuer. A token with an issue time
+	// further in the future could outlive its entry.
 	MaxClockSkew = 30 * time.Second
 
-	// DefaultMaxEntries and DefaultMaxBytes are the default Limits: 300 s of 218 admissions a
-	// second, three times the new flows per node of the target size.
+	// DefaultMaxEntries and DefaultMaxBytes are the default Limits. They suffice for
+	// 218 admissions per second over 300 s, three times the rate of new flows per node
+	// at the target size.
 	DefaultMaxEntries = 1 << 16
 	DefaultMaxBytes   = 24 << 20
 )
 
-// Limits bound the memory of a table. An instance that admits n requests a
-// second needs 300 n entries, of about 240 B without the response.
+// Limits bounds the memory of a table. An instance that admits n requests per second
+// needs 300 n entries of about 240 B each, not counting the response.
 type Limits struct {
 	Entries int
-	Bytes   int // of stored responses
+	Bytes   int // total size of stored responses
 }
 
-// DefaultLimits suit the target size of docs/design.md.
+// DefaultLimits are the limits for the target size in docs/design.md.
 var DefaultLimits = Limits{DefaultMaxEntries, DefaultMaxBytes}
 
 // State is the state of an admitted request.
@@ -43,19 +44,19 @@
 const (
 	Running  State = iota
 	Answered       // Response holds the response of the backend server
-	Refused        // not run; RetryAfter holds the seconds to wait
-	Unknown        // the outcome is not known, or its response was not kept
+	Refused        // did not run; RetryAfter holds the seconds to wait
+	Unknown        // the outcome is unknown, or the response was not stored
 )
 
-// Decision tells what to do with a request that carries a valid token.
+// Decision is the decision on a request that carries a valid token.
 type Decision uint8
 
 // Decisions of Table.Admit.
 const (
-	Admit          Decision = iota // run it; it has been entered
-	Duplicate                      // same request again: see the entry
-	NotRun                         // has not run and never will under this token
-	OutcomeUnknown                 // nothing may be said
+	Admit          Decision = iota // run the request; its entry has been created
+	Duplicate                      // repeated request: respond according to its entry
+	NotRun                         // no request with this token has run or will run
+	OutcomeUnknown                 // it is unknown whether a request with this token has run
 )
 
 // ID identifies an admission.
@@ -74,27 +75,27 @@
 	RetryAfter uint32 // seconds
 }
 
-// moved is the state of an incarnation whose table was handed over.
+// importState is the state of the import of another incarnation's table.
 type importState struct {
-	offset   time.Duration // its clock minus the own clock
-	parts    map[uint32]bool
-	last     uint32
+	offset   time.Duration   // clock of that incarnation minus the local clock
+	parts    map[uint32]bool // numbers of the received parts
+	last     uint32          // number of the last part, if hasLast
 	hasLast  bool
 	complete bool
 }
 
-// Table is the admission table of one incarnation, together with the tables
-// that were handed over to it.
+// Table is the admission table of one incarnation. It includes the tables that were
+// handed over to this incarnation.
 //
-// Invariants: an ID is returned with Admit at most once; it is entered before
-// Admit returns; while an ID is not entered and its token is younger than
-// NotRunWindow, nothing has run under it.
+// Invariants: the decision Admit is returned at most once for an ID, and its entry is
+// created before the method Admit returns. While there is no entry for an ID and its
+// token is younger than NotRunWindow, no request with this ID has run.
 type Table struct {
 	self          ids.Incarnation
 	limits        Limits
 	closed        bool
 	entries       map[ID]*Entry
-	ring          []*Entry // ring in order of entry
+	ring          []*Entry // ring buffer in order of insertion
 	head          int
 	length        int
 	freeEntries   []*Entry
@@ -107,20 +108,21 @@
 	return &Table{self: self, limits: DefaultLimits, entries: make(map[ID]*Entry), imports: make(map[ids.Incarnation]*importState)}
 }
 
-// SetLimits replaces the limits. Entries above a lower limit stay.
+// SetLimits replaces the limits. Existing entries above a lower limit are kept.
 func (t *Table) SetLimits(l Limits) { t.limits = l }
 
 // Len returns the number of entries.
 func (t *Table) Len() int { return t.length }
 
-// Close ends admission for good.
+// Close stops the admission of requests permanently.
 func (t *Table) Close() { t.closed = true }
 
-// MintingSuspended reports whether no further tokens that name this table should be
-// minted: the rest is kept for the tokens that have been.
+// MintingSuspended reports whether no more tokens for this table should be minted: it
+// is closed or more than 90% full. The remaining space is reserved for tokens that
+// have already been minted.
 func (t *Table) MintingSuspended() bool { return t.closed || t.length > t.limits.Entries/10*9 }
 
-// AuthoritativeFor reports whether this table decides for incarnation i.
+// AuthoritativeFor reports whether this table decides on the tokens of incarnation i.
 func (t *Table) AuthoritativeFor(i ids.Incarnation) bool {
 	if i == t.self {
 		return true
@@ -129,14 +131,14 @@
 	return m != nil && m.complete
 }
 
-// Admit decides on a request with digest that carries tok. The incarnation of
-// tok must be one that the table answers for. The entry is nil for NotRun and
+// Admit decides on a request with the given digest that carries tok. The table must be
+// authoritative for the incarnation of tok. The returned entry is nil for NotRun and
 // OutcomeUnknown.
 func (t *Table) Admit(now ids.Time, tok Token, digest uint64) (*Entry, Decision) {
 	id := ID{tok.Incarnation, tok.Nonce}
 	if e := t.entries[id]; e != nil {
 		if e.Digest != digest {
-			return nil, NotRun // another request that reuses the token
+			return nil, NotRun // a different request that reuses the token
 		}
 		return e, Duplicate
 	}
@@ -151,8 +153,8 @@
 	case age > TokenLifetime || !accepting:
 		return nil, NotRun
 	case t.length >= t.limits.Entries:
-		// "Not run" would be wrong if the same datagram came again after an
-		// eviction, so nothing is said.
+		// NotRun would be wrong if a copy of the datagram arrived after an eviction
+		// and was admitted.
 		return nil, OutcomeUnknown
 	}
 	return t.insert(id, digest, now), Admit
@@ -171,9 +173,8 @@
 	return e
 }
 
-// Finish records the outcome of an admitted request. A response that does not
-// fit the memory bound is not kept; duplicates are then told that the outcome
-// is unknown.
+// Finish records the outcome of an admitted request. A response that would exceed the
+// memory limit is not stored. The outcome is then unknown to duplicates of the request.
 func (t *Table) Finish(id ID, s State, response []byte, retryAfter uint32) {
 	e := t.entries[id]
 	if e == nil || e.State != Running {
@@ -202,8 +203,8 @@
 	return n
 }
 
-// Evict removes the entries older than EntryLifetime, at most max of them. Entries
-// are examined in order of entry, so one that was handed over may stay longer.
+// Evict removes entries older than EntryLifetime, at most max of them. Entries are
+// examined in order of insertion, so an imported entry may be kept longer.
 func (t *Table) Evict(now ids.Time, max int) {
 	for ; max > 0 && t.length > 0; max-- {
 		e := t.at(0)
--- a/internal/admission/token.go
+++ b/internal/admission/token.go
@@ -1,6 +1,6 @@
-// Package admission decides whether a request may start: admission tokens and
-// the admission table that make non-idempotent requests run at most once, the
-// queue limit and the retry budget. It performs no I/O and reads no clock.
+// Package admission decides whether a request may start. It implements the admission
+// tokens and the admission table, which ensure that non-idempotent requests run at most
+// once, the queue limit and the retry budget. It performs no I/O and reads no clock.
 package admission
 
 import (
@@ -14,11 +14,11 @@
 )
 
 const (
-	// TokenSize is the length of an encoded token in bytes: key id 1,
-	// incarnation 8, issue time 6, nonce 9, MAC 16. It is the greatest length
-	// of an Echo option (RFC 9175 section 2.2.1).
+	// TokenSize is the length of an encoded token in bytes: key id 1, incarnation 8,
+	// issue time 6, nonce 9, MAC 16. It equals the maximum length of an Echo option
+	// (RFC 9175 section 2.2.1).
 	TokenSize = 40
-	// MinKeySize is the least length of a key in bytes.
+	// MinKeySize is the minimum length of a key in bytes.
 	MinKeySize = 16
 
 	bodySize  = 24
@@ -28,11 +28,11 @@
 // Nonce distinguishes the tokens of one incarnation.
 type Nonce [nonceSize]byte
 
-// Token names the incarnation of the one instance that may dispatch a request.
+// Token identifies the incarnation of the only instance that may dispatch a request.
 type Token struct {
 	KeyID       uint8
 	Incarnation ids.Incarnation
-	IssuedMS    uint64 // on the clock of the named instance, milliseconds since the Unix epoch
+	IssuedMS    uint64 // by the clock of that instance, milliseconds since the Unix epoch
 	Nonce       Nonce
 }
 
@@ -42,12 +42,12 @@
 // Verdicts of Keyring.Parse.
 const (
 	Valid      Verdict = iota
-	NotIssued          // not issued by this system: nothing has run under it
-	UnknownKey         // the key may have been retired: nothing is known
+	NotIssued          // not issued by this system: no request with it has run
+	UnknownKey         // the key may have been retired: unknown whether a request has run
 )
 
-// Keyring holds the keys shared by the instances. One key signs, all verify.
-// It reuses its buffers, so it belongs to one goroutine.
+// Keyring holds the keys shared by the instances. One key signs tokens; all keys verify
+// them. A Keyring reuses its buffers and must not be used concurrently.
 type Keyring struct {
 	keys     [256]hash.Hash
 	signKey  uint8
@@ -56,12 +56,12 @@
 	sum      [sha256.Size]byte
 }
 
-// NewKeyring returns a keyring over keys that signs with the key sign.
+// NewKeyring returns a keyring with the given keys that signs with the key with id sign.
 func NewKeyring(sign uint8, keys map[uint8][]byte) (*Keyring, error) {
 	k := &Keyring{signKey: sign}
 	for id, key := range keys {
 		if len(key) < MinKeySize {
-			return nil, eris.Errorf("admission key %d: %d bytes, at least %d are needed", id, len(key), MinKeySize)
+			return nil, eris.Errorf("admission key %d: %d bytes, want at least %d", id, len(key), MinKeySize)
 		}
 		k.keys[id] = hmac.New(sha256.New, key)
 	}
@@ -83,7 +83,8 @@
 	copy(dst[bodySize:], k.mac(k.signKey, service))
 }
 
-// Parse checks the Echo option value echo of a request to service.
+// Parse decodes and verifies the token in echo, the Echo option value of a request to
+// service.
 func (k *Keyring) Parse(echo []byte, service ids.Service) (Token, Verdict) {
 	if len(echo) != TokenSize {
 		return Token{}, NotIssued
@@ -103,7 +104,7 @@
 	return t, Valid
 }
 
-// mac returns the truncated MAC over k.body and the service name.
+// mac returns the truncated HMAC-SHA-256 of k.body and the service name, under key id.
 func (k *Keyring) mac(id uint8, service ids.Service) []byte {
 	h := k.keys[id]
 	h.Reset()
--- a/internal/share/heap.go
+++ b/internal/share/heap.go
@@ -1,7 +1,7 @@
 package share
 
-// The heap of active partners is kept by hand because container/heap would
-// box its elements and call through an interface on the path of every request.
+// The heap of active partners does not use container/heap, which would box its
+// elements and call through an interface on the path of every request.
 
 func (q *Queue[T]) less(a, b *partner[T]) bool {
 	if a.virtualTime != b.virtualTime {
--- a/internal/share/maxmin.go
+++ b/internal/share/maxmin.go
@@ -7,9 +7,9 @@
 )
 
 // MaxMin returns the weighted max-min fair allocation of capacity: no partner
-// gets more than its demand, and what one leaves is divided among the others
-// in proportion to their weights. capacity and demand are in the same unit. A
-// partner without a weight counts as 1.
+// gets more than its demand, and capacity that a partner does not use is divided
+// among the others in proportion to their weights. capacity and demand have the same
+// unit. The weight of a partner that is missing from weight is 1.
 func MaxMin(capacity float64, demand map[ids.Partner]float64, weight map[ids.Partner]uint32) map[ids.Partner]float64 {
 	type claim struct {
 		name           ids.Partner
@@ -22,8 +22,8 @@
 		claims = append(claims, claim{name, max(d, 0), w})
 		total += w
 	}
-	// Served in order of demand per weight, each partner gets its demand or an
-	// equal share per weight of what is left, whichever is less.
+	// In order of demand divided by weight, each partner gets the lesser of its demand
+	// and its weighted share of the remaining capacity.
 	slices.SortFunc(claims, func(a, b claim) int {
 		switch l, r := a.demand*b.weight, b.demand*a.weight; {
 		case l < r:
--- a/internal/share/queue.go
+++ b/internal/share/queue.go
@@ -1,6 +1,6 @@
-// Package share divides the slot time of one owner among partners: a
-// start-time fair queue for requests that wait, and weighted max-min fairness
-// for dry runs. It performs no I/O and reads no clock.
+// Package share divides the slot time of one slot owner among partners. It provides a
+// start-time fair queue for waiting requests, weighted max-min fairness for dry runs,
+// and retry times for refused callers. It performs no I/O and reads no clock.
 package share
 
 import (
@@ -12,9 +12,9 @@
 
 // Queue is a start-time fair queue over partners. Each partner has a first-in
 // first-out queue and a virtual time that advances by cost ÷ weight for each
-// item popped; Pop takes from the partner with the lowest virtual time. Tags
-// are assigned when an item reaches the head, so a change of weights or a
-// charge takes effect with the next Pop. The zero value is ready for use.
+// item popped; Pop takes from the partner with the lowest virtual time. Start tags
+// are assigned when an item reaches the head of its queue, so a change of weights or
+// a charge takes effect with the next Pop. The zero value is ready for use.
 type Queue[T any] struct {
 	partners    map[ids.Partner]*partner[T]
 	list        []*partner[T] // all partners, oldest first
@@ -22,11 +22,11 @@
 	virtualTime float64       // virtual time of the last pop
 	weights     map[ids.Partner]uint32
 	length      int
-	activations uint64 // breaks ties in the order in which partners became active
+	activations uint64 // number of times that a partner became active; breaks ties of virtual time
 }
 
-// partner is the state of one partner. virtual counts seconds of slot time
-// per unit of weight.
+// partner is the state of one partner. virtualTime is in seconds of slot time per unit
+// of weight.
 type partner[T any] struct {
 	name        ids.Partner
 	weight      float64
@@ -42,7 +42,7 @@
 	cost time.Duration
 }
 
-// SetWeights replaces the weights. A partner without a weight counts as 1.
+// SetWeights replaces the weights. The weight of a partner that is missing from w is 1.
 func (q *Queue[T]) SetWeights(w map[ids.Partner]uint32) {
 	q.weights = make(map[ids.Partner]uint32, len(w))
 	for name, weight := range w {
@@ -78,8 +78,8 @@
 	return p
 }
 
-// Push appends item to the queue of partner name. cost is the slot time that
-// the item is predicted to take.
+// Push appends item to the queue of partner name. cost is the predicted slot time of
+// the item.
 func (q *Queue[T]) Push(name ids.Partner, cost time.Duration, item T) {
 	p := q.partner(name)
 	p.items.push(entry[T]{item, cost})
@@ -87,8 +87,9 @@
 	if p.heapIndex >= 0 {
 		return
 	}
-	// A partner that was idle starts at the current virtual time: it neither
-	// saves up unused share nor pays for share that was lent to it.
+	// A partner that was idle starts at the current virtual time. It accumulates no
+	// credit for its unused share and is not charged for idle share of others that it
+	// used.
 	p.virtualTime = max(p.virtualTime, q.virtualTime)
 	p.activation = q.activations
 	q.activations++
@@ -114,8 +115,8 @@
 	return e.item, p.name, true
 }
 
-// Charge corrects the charge of partner name once the slot time of an item is
-// known.
+// Charge corrects the slot time charged to partner name by the difference between the
+// actual and the predicted slot time of an item.
 func (q *Queue[T]) Charge(name ids.Partner, actualMinusPredicted time.Duration) {
 	p := q.partner(name)
 	p.virtualTime += actualMinusPredicted.Seconds() / p.weight
@@ -124,8 +125,8 @@
 	}
 }
 
-// RemoveIf removes the items for which f returns true and passes each of them
-// to removed. They are not charged.
+// RemoveIf removes the items for which match returns true and calls removed with each
+// of them. Removed items are not charged.
 func (q *Queue[T]) RemoveIf(match func(T) bool, removed func(T)) {
 	for _, p := range q.list {
 		if p.heapIndex < 0 {
--- a/internal/share/queue_test.go
+++ b/internal/share/queue_test.go
@@ -12,12 +12,12 @@
 	"pgregory.net/rapid"
 )
 
-// A fixed seed keeps the normal run repeatable; -rapid.seed overrides it.
+// A fixed seed makes the default run reproducible; -rapid.seed overrides it.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
 const cost = 10 * time.Millisecond
 
-// drain pops n items and counts them by partner.
+// popAndCount pops up to n items and counts them by partner.
 func popAndCount(q *Queue[int], n int) map[ids.Partner]int {
 	got := map[ids.Partner]int{}
 	for range n {
@@ -36,8 +36,8 @@
 	}
 }
 
-// Guards against a split that follows demand instead of weights, and against
-// one that does not follow a change of weights at once.
+// Guards against slot time being divided by demand instead of weights, and against a
+// change of weights that takes effect late.
 func TestQueueFollowsWeights(t *testing.T) {
 	var q Queue[int]
 	q.SetWeights(map[ids.Partner]uint32{"a": 3, "b": 1})
@@ -49,8 +49,9 @@
 	assert.Assert(t, got["a"] >= 99 && got["a"] <= 101, "%v", got)
 }
 
-// Guards against unused share being lost, saved up, or charged later.
-func TestQueueLendsUnusedShare(t *testing.T) {
+// Guards against unused share that is lost, accumulated as credit, or later charged to
+// the partner that used it.
+func TestQueueRedistributesUnusedShare(t *testing.T) {
 	var q Queue[int]
 	q.SetWeights(map[ids.Partner]uint32{"a": 3, "b": 1})
 	fill(&q, "b", 500)
@@ -60,7 +61,7 @@
 	assert.Assert(t, got["a"] >= 29 && got["a"] <= 31, "%v", got)
 }
 
-// Guards against a partner that gains slot time with requests that run longer
+// Guards against a partner that gets more than its share because its requests run longer
 // than predicted.
 func TestQueueChargesActualTime(t *testing.T) {
 	var q Queue[int]
@@ -80,7 +81,7 @@
 	assert.Assert(t, ratio > 0.97 && ratio < 1.03, "%v", ratio)
 }
 
-// Guards against lost, repeated or reordered items of a partner.
+// Guards against items of a partner that are lost, repeated or reordered.
 func TestQueueKeepsItems(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		var q Queue[int]
@@ -121,8 +122,8 @@
 	})
 }
 
-// Guards against partners that are skipped because the removal of another one
-// reorders the heap.
+// Guards against partners that RemoveIf skips because the removal of another one reorders
+// the heap.
 func TestQueueRemovesFromAllPartners(t *testing.T) {
 	var q Queue[int]
 	for _, i := range []int{1, 9, 2, 10, 11, 3, 4} {
@@ -134,8 +135,8 @@
 	assert.Equal(t, q.Len(), 0)
 }
 
-// Guards against an allocation above the capacity or the demand, and against
-// capacity that is left while a partner wants more.
+// Guards against an allocation above the capacity or the demand, and against unused
+// capacity while a partner's demand is not met.
 func TestMaxMin(t *testing.T) {
 	got := MaxMin(100, map[ids.Partner]float64{"a": 10, "b": 500, "c": 500}, map[ids.Partner]uint32{"a": 1, "b": 2, "c": 1})
 	assert.DeepEqual(t, got, map[ids.Partner]float64{"a": 10, "b": 60, "c": 30})
--- a/internal/share/returns.go
+++ b/internal/share/returns.go
@@ -7,27 +7,26 @@
 	"arbutusdock.example/arbutusdock/internal/ids"
 )
 
-// RetryPacer spreads the return of refused callers over time. It books one return
-// after the other at LoadFraction of the rate at which the owner serves requests, so
-// that callers who return add at most this part to the load, however long the
-// overload lasts. Times drawn from an interval that grows with the ratio of
-// load to capacity do not ensure this, because the interval does not grow with
-// the number of callers that have been refused already.
+// RetryPacer spreads the retries of refused callers over time. It schedules retries one
+// after the other, at LoadFraction of the rate at which the owner serves requests, so
+// that they add at most this fraction to the load, however long the overload lasts.
+// Random delays from an interval that grows with the ratio of load to capacity do not
+// ensure this, because the interval does not grow with the number of callers that are
+// already refused.
 type RetryPacer struct {
 	Min, Max     time.Duration
 	LoadFraction float64  // of the service rate, 0 to 1
-	nextReturn   ids.Time // of the next booking
+	nextReturn   ids.Time // earliest time of the next retry to be scheduled
 }
 
-// RetryAfter books a return and gives the time until then in whole seconds, the
-// unit of Max-Age, between Min and Max. rate is the number of requests a
-// second that the owner can serve. The time is drawn uniformly around the
-// booking, from half to one and a half of it. Without that, the callers refused
-// in a fraction of a second all came back in the same fraction of a later one,
-// since they wait for whole seconds.
+// RetryAfter schedules a retry and returns the delay until then in whole seconds, the
+// unit of Max-Age, between Min and Max. rate is the number of requests per second that
+// the owner can serve. The delay is drawn uniformly from 0.5 to 1.5 times the scheduled
+// one. Without this jitter, callers refused in the same fraction of a second all
+// retried in the same fraction of a later second, since they wait for whole seconds.
 func (r *RetryPacer) RetryAfter(now ids.Time, rate float64, rng *rand.Rand) uint32 {
-	// Bookings beyond Max fall on Max; to go on counting them would delay
-	// later ones for nothing.
+	// Retries that would be due after Max are scheduled at Max. Accumulating the
+	// excess would delay later retries without need.
 	r.nextReturn = min(max(r.nextReturn, now.Add(r.Min)), now.Add(r.Max))
 	delay := r.nextReturn.Sub(now)
 	if returnRate := rate * r.LoadFraction; returnRate > 0 {
--- a/internal/share/returns_test.go
+++ b/internal/share/returns_test.go
@@ -9,13 +9,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against refused callers that add more than their part to the load, or
-// return together, however long the overload lasts.
-func TestReturnsAreSpread(t *testing.T) {
+// Guards against retries of refused callers that add more than LoadFraction to the load,
+// or arrive in bursts, however long the overload lasts.
+func TestRetriesAreSpread(t *testing.T) {
 	r := RetryPacer{Min: time.Second, Max: 300 * time.Second, LoadFraction: 0.25}
 	rng := rand.New(rand.NewPCG(1, 2))
 	const rate = 400
-	back := make([]int, 600) // by second
+	back := make([]int, 600) // number of retries in each second
 	for i := range 10 * 800 {
 		now := ids.Time(time.Duration(i) * time.Second / 800)
 		s := r.RetryAfter(now, rate, rng)
@@ -27,9 +27,9 @@
 	}
 }
 
-// Guards against a time to come back outside the limits of the profile, also
-// when nothing can be served.
-func TestReturnsStayWithinLimits(t *testing.T) {
+// Guards against a retry delay outside the limits of the profile, including a service
+// rate of 0.
+func TestRetryAfterStaysWithinLimits(t *testing.T) {
 	r := RetryPacer{Min: 2500 * time.Millisecond, Max: 10 * time.Second, LoadFraction: 0.25}
 	rng := rand.New(rand.NewPCG(1, 2))
 	for _, rate := range []float64{100, 0.01, 0, 100} {
--- a/internal/share/ring.go
+++ b/internal/share/ring.go
@@ -1,7 +1,7 @@
 package share
 
-// ring is a first-in first-out queue that grows by doubling and keeps its
-// memory. Its capacity is a power of two.
+// ring is a first-in first-out queue in a ring buffer that grows by doubling and
+// never shrinks. Its capacity is a power of two.
 type ring[T any] struct {
 	buf  []entry[T]
 	head int
@@ -32,8 +32,8 @@
 	return e
 }
 
-// removeIf keeps the order of the remaining items and returns how many were
-// removed.
+// removeIf removes the items for which match returns true, calls removed with each of
+// them, and returns their number. The order of the others is kept.
 func (r *ring[T]) removeIf(match func(T) bool, removed func(T)) int {
 	kept := 0
 	for i := range r.n {
--- a/internal/spread/adopt_test.go
+++ b/internal/spread/adopt_test.go
@@ -7,9 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a report of another owner that replaces own history, shifts
-// the median, or makes requests without a key long.
-func TestAdoptedRunTime(t *testing.T) {
+// Guards against an imported run time that replaces local history, changes the median,
+// or makes requests without a key long.
+func TestImportedRunTime(t *testing.T) {
 	p := newPredictor()
 	for range 20 {
 		p.record(1, 10*time.Millisecond, Short, Success)
@@ -25,7 +25,7 @@
 	assert.Equal(t, p.classify(UntrackedKey), Short)
 	assert.Equal(t, p.median, mid)
 	assert.Equal(t, p.samples, total)
-	for range 20 { // own run times correct the adopted one
+	for range 20 { // local run times correct the imported one
 		p.record(2, 10*time.Millisecond, Short, Success)
 	}
 	assert.Equal(t, p.classify(2), Short)
--- a/internal/spread/assign.go
+++ b/internal/spread/assign.go
@@ -52,9 +52,9 @@
 	targets    []placement // sorted by key
 	maxOwned   int         // limit of owned slots per instance
 	totalSlots int
-	// forced is set when an owner was not selected by rank alone: it was below its
-	// minimum, or no instance was below the limit. Any change of the instances may
-	// then change the result.
+	// forced is set when rank alone did not determine the owners: an instance below
+	// its minimum took precedence, or too few instances were below the limit. Any
+	// change of the instances may then change the result.
 	forced     bool
 	ownedSlots map[ids.Instance]int
 }
@@ -164,7 +164,7 @@
 }
 
 // leastLoaded returns the index of the instance with the fewest slots, excluding
-// index except. It is used when no instance is below the limit.
+// index except. It is used when too few instances are below the limit.
 func (a *assignment) leastLoaded(instances []instance, owned []int, except int) int {
 	a.forced = true
 	least := -1
--- a/internal/spread/assign_test.go
+++ b/internal/spread/assign_test.go
@@ -16,8 +16,8 @@
 	return t
 }
 
-// Guards against a target with one owner, and against instances that own more
-// than their part of the slots.
+// Guards against a target whose two owners are the same instance, and against an
+// uneven number of slots per instance.
 func TestAssignDistinctAndEven(t *testing.T) {
 	for _, c := range []struct{ instances, targets int }{{2, 1}, {2, 15}, {3, 15}, {4, 15}, {5, 4}, {5, 15}, {6, 15}, {7, 100}, {50, 100}} {
 		tab := newTestTable(instanceNames(c.instances), 0)
@@ -44,10 +44,10 @@
 	}
 }
 
-// Guards against an incremental result that differs from the one that an
-// instance with the same view computes from scratch: two instances would then
-// use the same slot, or none would.
-func TestAssignDependsOnSetsOnly(t *testing.T) {
+// Guards against an incremental result that differs from a computation from scratch
+// with the same membership list. Two instances would then use the same slot, or none
+// would.
+func TestAssignIsIndependentOfHistory(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		all := instanceNames(12)
 		tab := NewTable("", dc, 1)
@@ -73,8 +73,8 @@
 	})
 }
 
-// Guards against a leave that moves many flows that did not live on the
-// instance, which would break their feeds for nothing.
+// Guards against many flows of the remaining instances changing their home when an
+// instance leaves. This would break their feeds without need.
 func TestHomeMovesFewFlows(t *testing.T) {
 	for _, targets := range []int{15, 400} {
 		before, after := newTestTable(instanceNames(5), targets), newTestTable(instanceNames(4), targets)
@@ -93,8 +93,8 @@
 	}
 }
 
-// Guards against a home without slots, and against homes of a service that is
-// unknown, removed or without instances.
+// Guards against a home instance that owns no slot, and against a home for a service
+// that is removed or without instances.
 func TestHomeOwnsSlots(t *testing.T) {
 	tab := newTestTable(instanceNames(9), 3)
 	for flow := range uint64(100) {
@@ -109,8 +109,8 @@
 	assert.Assert(t, !ok && tab.Pool("s") == nil && len(tab.Owners("s")) == 0)
 }
 
-// Guards against targets of other data centres and against names that occur
-// twice being owned.
+// Guards against slots being assigned for targets in other data centres and for
+// repeated target names.
 func TestServiceFiltersTargets(t *testing.T) {
 	r := testService("s", 3)
 	r.Service.Targets[1].DataCentre = "elsewhere"
--- a/internal/spread/bench_test.go
+++ b/internal/spread/bench_test.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// BenchmarkSetInstances measures one leave and one join in a data centre of
-// 500 instances with 5,800 targets, in one service or in services of 4.
+// BenchmarkSetInstances measures one instance leaving and rejoining a data centre of 500
+// instances and 5,800 targets, in one service or in 1,450 services of 4 targets.
 func BenchmarkSetInstances(b *testing.B) {
 	for _, services := range []int{1, 1450} {
 		b.Run(fmt.Sprintf("services=%d", services), func(b *testing.B) {
--- a/internal/spread/feed.go
+++ b/internal/spread/feed.go
@@ -2,13 +2,13 @@
 
 import "arbutusdock.example/arbutusdock/internal/ids"
 
-// feedSample bounds the cost of placing a feed: a pool with more targets
-// compares this many of them, starting at a different one each time.
+// feedSample is the maximum number of targets that are compared first when a feed is
+// placed, to bound the cost in large pools. Each search starts at another target.
 const feedSample = 64
 
-// OpenFeed places a feed on the usable target with the fewest feeds. avoid is
-// chosen only when there is no other. ok is false when every target is
-// leaving, suspected or holds as many feeds as the profile allows.
+// OpenFeed assigns a feed to the target with the fewest feeds per owned slot. avoid is
+// selected only when there is no other target. ok is false when every target is
+// draining, suspected or at the feed limit of the profile.
 func (p *Pool) OpenFeed(now ids.Time, avoid ids.Target) (name ids.Target, endpoint ids.Endpoint, ok bool) {
 	p.now = now
 	best := p.pickFeedTarget(avoid, min(len(p.targets), feedSample))
@@ -26,7 +26,8 @@
 	return best.name, best.endpoint, true
 }
 
-// feedTarget compares n targets.
+// pickFeedTarget returns the target with the fewest feeds per owned slot among the next
+// n targets, other than avoid. It is nil when none of these accepts a feed.
 func (p *Pool) pickFeedTarget(avoid ids.Target, n int) *target {
 	if len(p.targets) == 0 {
 		return nil
@@ -47,8 +48,8 @@
 		}
 		load := float64(t.feeds) / float64(t.owned)
 		if t.usable == 0 {
-			// Starting or pausing: take it for as full as the others, so that
-			// it is not given every new feed at once.
+			// The target is starting or paused. Assume at least the average load,
+			// so that it does not get every new feed.
 			load = max(load, float64(p.feeds)/float64(max(p.panicTotal, 1)))
 		}
 		if best == nil || load < bestLoad {
@@ -58,13 +59,14 @@
 	return best
 }
 
-// feedLimit returns this owner's part of the feeds that a target may hold.
+// feedLimit returns the maximum number of feeds on t for this owner: its share of the
+// limit of the profile, in proportion to its slots.
 func (p *Pool) feedLimit(t *target) int {
 	return max(1, (p.maxFeeds*t.owned+t.slots-1)/max(t.slots, 1))
 }
 
-// CloseFeed ends a feed on target. A Timeout or Failure counts against the
-// target as a failed request does.
+// CloseFeed ends a feed on a target. A Timeout or Failure counts as a failed request to
+// the target.
 func (p *Pool) CloseFeed(name ids.Target, o Outcome) {
 	i, ok := p.byName[name]
 	if !ok {
--- a/internal/spread/firstcheck_test.go
+++ b/internal/spread/firstcheck_test.go
@@ -8,9 +8,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against new work on a draining target in the moment after a change of
-// ownership: the new owner does not know of a drain that only the health
-// endpoint reports until its first check has ended.
+// Guards against new requests to a draining target just after a change of ownership. A
+// drain that only the health endpoint reports is unknown to a new owner until its first
+// health check has ended.
 func TestNewOwnerChecksFirst(t *testing.T) {
 	f := newFixture(2)
 	f.SetInstances(f.now, nil)
@@ -27,8 +27,8 @@
 	assert.Assert(t, ok && l.Target == "t00001")
 }
 
-// Guards against a target whose health endpoint never answers and that is not
-// used for that reason alone.
+// Guards against a target that stays unused only because its health endpoint never
+// responds.
 func TestFirstCheckWaitIsBounded(t *testing.T) {
 	f := newFixture(1)
 	f.SetInstances(f.now, nil)
--- a/internal/spread/fixture_test.go
+++ b/internal/spread/fixture_test.go
@@ -41,7 +41,8 @@
 	return r
 }
 
-// fixture drives the table of a single instance, which owns every slot.
+// fixture is the table of a single instance, which owns every slot, with a simulated
+// clock and a record of the health checks that were due.
 type fixture struct {
 	*Table
 	r         *config.Resolved
@@ -59,8 +60,8 @@
 	return f
 }
 
-// passFirstChecks reports every owned target as healthy, as the checks that
-// follow a takeover of slots do.
+// passFirstChecks reports every target as healthy, like the first health checks after
+// slots were acquired.
 func (f *fixture) passFirstChecks() {
 	for _, t := range f.pool.Targets(nil) {
 		f.pool.RecordCheck(f.now, CheckResult{Target: t.Target, Healthy: true})
@@ -74,7 +75,7 @@
 	}
 }
 
-// request runs one request of duration run on whichever target is next.
+// request runs one request with run time run on the next target and returns the target.
 func (f *fixture) request(key uint64, run time.Duration, o Outcome) (ids.Target, bool) {
 	l, ok := f.pool.Acquire(f.now, f.pool.Classify(key), "")
 	if !ok {
@@ -95,7 +96,7 @@
 	return TargetState{}
 }
 
-// fail makes requests fail on target t until it is suspected.
+// failUntilSuspected makes requests fail on target t until it is suspected.
 func (f *fixture) failUntilSuspected(t ids.Target) {
 	for range failuresToSuspect {
 		l, _ := f.pool.AcquireTarget(f.now, t)
--- a/internal/spread/health.go
+++ b/internal/spread/health.go
@@ -9,9 +9,10 @@
 	"arbutusdock.example/arbutusdock/internal/ids"
 )
 
-// outcome takes the result of a request into account. Requests carry more
-// weight than checks: a success clears suspicion and outdates failed checks,
-// and suspicion that came from requests is cleared by a request only.
+// recordOutcome updates the health of target i with the result of a request.
+// Requests take precedence over health checks: a successful request clears suspicion
+// and resets the count of failed checks, and suspicion raised by requests is cleared
+// by a successful request only.
 func (p *Pool) recordOutcome(now ids.Time, i int32, e *activeRequest, o Outcome) {
 	t := p.targets[i]
 	switch o {
@@ -19,14 +20,14 @@
 		t.consecutiveFailures, t.consecutiveSheds = 0, 0
 		t.failedChecks = 0
 		t.lastSuccess = now
-		// A response to a request from before the suspicion is no evidence
-		// against later failures.
+		// A response to a request that was sent before the suspicion does not
+		// disprove later failures.
 		if t.suspected() && (!t.suspectedByRequests || !e.start.Before(t.suspectedAt)) {
 			p.clearSuspicion(now, i, t.suspectedByRequests)
 		}
 	case Shed:
-		// Alive but full: the other owner or an instance with another
-		// membership list uses the slot.
+		// The target is up but full: the other owner, or an instance with a
+		// different membership list, uses the slot.
 		t.consecutiveFailures = 0
 		t.consecutiveSheds++
 		t.pausedUntil = now.Add(shedPause(t.consecutiveSheds))
@@ -39,8 +40,9 @@
 	}
 }
 
-// failed counts a failed request. A timeout of a long request is no evidence
-// by itself, since its deadline may have been too short for it.
+// recordFailure counts a failed request. The deadline may be too short for a long
+// request. Therefore a timeout of a request that was predicted long and has not run
+// longer than longThreshold is ignored, unless a health check has failed as well.
 func (p *Pool) recordFailure(now ids.Time, i int32, e *activeRequest, o Outcome) {
 	t := p.targets[i]
 	if o == Timeout && e.class == Long && !e.overThreshold && t.failedChecks == 0 {
@@ -60,7 +62,7 @@
 	}
 }
 
-// postpone sets the time of the next probe request.
+// scheduleProbe sets the earliest time of the next probe request after the back-off.
 func (p *Pool) scheduleProbe(now ids.Time, t *target) {
 	wait := t.backOff
 	if t.failedChecks > 0 {
@@ -69,7 +71,8 @@
 	t.probeAt = now.Add(wait)
 }
 
-// suspectTarget stops the use of a target until a probe has succeeded.
+// markSuspected marks a target as suspected. Until the suspicion is cleared, it
+// gets no new requests except probe requests, unless panic mode is on.
 func (p *Pool) markSuspected(now ids.Time, i int32, fromRequests bool) {
 	t := p.targets[i]
 	t.suspicion.Fire(chart.SuspicionSilent)
@@ -80,7 +83,8 @@
 	p.suspicionChanged(now, i, +1)
 }
 
-// clear ends suspicion. A target that has recovered starts slowly.
+// clearSuspicion ends the suspicion of a target. With slowStart a serving target goes
+// through slow start again.
 func (p *Pool) clearSuspicion(now ids.Time, i int32, slowStart bool) {
 	t := p.targets[i]
 	t.suspicion.Fire(chart.SuspicionRefute)
@@ -90,10 +94,10 @@
 		t.slowUntil = now.Add(p.spread.SlowStart)
 		if t.countsForPanic() {
 			p.panicTotal++
-			p.panicSuspected++ // taken off by trustChanged
+			p.panicSuspected++ // subtracted by suspicionChanged below
 		}
 	}
-	// A draining target stays so: restart would withdraw the drain.
+	// A draining target stays draining: a restart would cancel the drain.
 	if slowStart && p.spread.SlowStart > 0 && t.lifecycle.State() == chart.BackendServing {
 		if _, ok := t.lifecycle.Fire(chart.BackendRestart); ok {
 			t.slowUntil = now.Add(p.spread.SlowStart)
@@ -102,7 +106,8 @@
 	p.suspicionChanged(now, i, -1)
 }
 
-// trustChanged updates the panic state after target i changed its suspicion.
+// suspicionChanged updates the panic mode after the suspicion of target i was raised
+// (change +1) or cleared (-1).
 func (p *Pool) suspicionChanged(now ids.Time, i int32, change int) {
 	t := p.targets[i]
 	if t.countsForPanic() {
@@ -119,8 +124,8 @@
 	p.refresh(now, i)
 }
 
-// RecordCheck records the result of an active health check. The reported load is
-// not used for placement: it may be stale, while the slots in use are known.
+// RecordCheck records the result of an active health check. The reported load is not
+// used to select targets: it may be stale, whereas the number of slots in use is exact.
 func (p *Pool) RecordCheck(now ids.Time, h CheckResult) {
 	p.now = now
 	i, ok := p.byName[h.Target]
@@ -130,7 +135,7 @@
 	t := p.targets[i]
 	previous := t.lastCheck
 	t.lastCheck = now
-	defer func() { // after a drain has been noted
+	defer func() { // runs after a reported drain has been recorded
 		if t.firstCheckDeadline != 0 {
 			t.firstCheckDeadline = 0
 			p.refresh(now, i)
@@ -161,18 +166,18 @@
 	case !t.suspectedByRequests:
 		p.clearSuspicion(now, i, recovered)
 	case recovered:
-		// The check has changed from failed to passed, so a probe request has
-		// better prospects than the back-off assumes. A check that passes all
-		// the time says nothing.
+		// The check went from failed to passed, so a probe request is now more
+		// likely to succeed and the back-off is reset. A check that passed all
+		// along is no such evidence.
 		t.backOff = minBackOff
 		t.probeAt = min(t.probeAt, now)
 		p.refresh(now, i)
 	}
 }
 
-// checkFailed counts a failed check unless requests show that the target
-// works: one has succeeded since the previous check, or the last one did not
-// long ago and none has been sent since.
+// checkFailed counts a failed check unless requests show that the target works: a
+// request has succeeded since the previous check, or the last request succeeded
+// within successEvidenceAge and none has been sent since.
 func (p *Pool) checkFailed(now ids.Time, i int32, previous ids.Time) {
 	t := p.targets[i]
 	if t.lastSuccess > 0 && t.consecutiveFailures == 0 {
@@ -200,23 +205,23 @@
 	}
 }
 
-// restart begins the slow start of a target that was drained.
+// restart begins the slow start of a target whose drain has ended.
 func (p *Pool) restart(now ids.Time, t *target) {
 	if _, ok := t.lifecycle.Fire(chart.BackendRestart); ok {
 		t.slowUntil = now.Add(p.spread.SlowStart)
 	}
 }
 
-// expire ends the slow start of a target.
+// endSlowStart ends the slow start of a target when its time is over.
 func (p *Pool) endSlowStart(now ids.Time, t *target) {
 	if t.lifecycle.State() == chart.BackendStarting && !now.Before(t.slowUntil) {
 		t.lifecycle.Fire(chart.BackendReady)
 	}
 }
 
-// checks calls due for each health check whose time has come: new targets at
-// once, the others in the order of their phases. All have the same interval,
-// so the first one that is not due ends the search.
+// dispatchChecks calls due for each health check that is due: new and regained targets
+// immediately, the others in order of their phases. All have the same interval, so
+// the search stops at the first one that is not due.
 func (p *Pool) dispatchChecks(now ids.Time, due func(s ids.Service, target ids.Target, url string)) {
 	for _, i := range p.checkNow {
 		if t := p.targets[i]; t != nil && t.url != "" && t.owned > 0 {
@@ -236,8 +241,8 @@
 	}
 }
 
-// sortChecks orders the targets with a health endpoint by phase, beginning
-// with the one that is due next.
+// sortChecks sorts the targets with a health endpoint by phase and sets checkCursor to
+// the one that is due next.
 func (p *Pool) sortChecks() {
 	slices.SortFunc(p.checkOrder, func(a, b int32) int {
 		return cmp.Or(cmp.Compare(p.phase(a), p.phase(b)), cmp.Compare(p.targets[a].name, p.targets[b].name))
@@ -250,12 +255,13 @@
 	}
 }
 
-// phase spreads the health checks of a pool over the check interval.
+// phase returns the offset of the health checks of target i in the check interval. It
+// is derived from a hash, to spread the checks of a pool over the interval.
 func (p *Pool) phase(i int32) time.Duration {
 	return time.Duration(ids.Mix(p.seed, ids.Hash(string(p.targets[i].name))) % uint64(checkInterval))
 }
 
-// nextPhase returns the next instant after now in the phase of target i.
+// nextPhase returns the first check time of target i after now.
 func (p *Pool) nextPhase(now ids.Time, i int32) ids.Time {
 	next := now - now%ids.Time(checkInterval) + ids.Time(p.phase(i))
 	if !now.Before(next) {
--- a/internal/spread/health_test.go
+++ b/internal/spread/health_test.go
@@ -12,8 +12,8 @@
 	f.pool.RecordCheck(f.now, CheckResult{Target: t, Healthy: healthy})
 }
 
-// Guards against a target that fails requests and stays in use, and against
-// several probe requests at a time or without a growing back-off.
+// Guards against a target that stays in use although its requests fail, and against
+// concurrent probe requests and a back-off that does not grow.
 func TestSuspectedTargetIsProbed(t *testing.T) {
 	f := newFixture(4)
 	f.failUntilSuspected("t00001")
@@ -31,7 +31,7 @@
 	}
 }
 
-// Guards against a recovered target that gets its full load at once.
+// Guards against a recovered target that gets its full load without slow start.
 func TestRecoveredTargetStartsSlowly(t *testing.T) {
 	f := newFixture(4)
 	f.failUntilSuspected("t00001")
@@ -43,8 +43,8 @@
 	assert.Equal(t, f.state("t00001").Usable, 2)
 }
 
-// Guards against a lying health endpoint that takes a working target out of
-// use, and against one that keeps a failing target in use.
+// Guards against a faulty health endpoint that takes a working target out of use or
+// keeps a failing target in use.
 func TestRequestsOverrideChecks(t *testing.T) {
 	f := newFixture(4)
 	for range 20 {
@@ -62,8 +62,8 @@
 	assert.Equal(t, f.state("t00002").Suspicion, "suspected")
 }
 
-// Guards against a dead target that is found only by the requests it fails:
-// checks suffice while requests do not contradict them.
+// Guards against a dead target that is detected by failed requests only. Failed health
+// checks must suffice while no successful request contradicts them.
 func TestChecksSuspectWithoutRequests(t *testing.T) {
 	f := newFixture(4)
 	f.recordCheck("t00001", false)
@@ -80,8 +80,8 @@
 	assert.Equal(t, f.state("t00002").Suspicion, "suspected", "a failed check and a failed request")
 }
 
-// Guards against a service that stops because most of its targets are
-// suspected, and against a pool of one dead target that keeps using it.
+// Guards against an outage of a service because most of its targets are suspected, and
+// against a pool with a single target that keeps using it although it is dead.
 func TestPanicThreshold(t *testing.T) {
 	f := newFixture(4)
 	f.failUntilSuspected("t00000")
@@ -98,8 +98,8 @@
 	assert.Equal(t, one.pool.Capacity(), 0)
 }
 
-// Guards against a new target that is used before it is up or with all its
-// slots at once, and against one whose health endpoint never passes.
+// Guards against a new target that is used before it is up or without slow start, and
+// against one that is never used because its health endpoint reports no success.
 func TestNewTargetStartsSlowly(t *testing.T) {
 	f := newFixture(4)
 	f.advance(10 * time.Second)
@@ -117,8 +117,8 @@
 	assert.Equal(t, f.pool.Capacity(), 11, "a probe request of the target that was not checked")
 }
 
-// Guards against new work for a draining target, and against one that is
-// never used again after the drain was withdrawn.
+// Guards against new requests to a draining target, and against a target that is not
+// used again after the drain has ended.
 func TestDrainingTarget(t *testing.T) {
 	f := newFixture(2)
 	f.pool.RecordCheck(f.now, CheckResult{Target: "t00000", Healthy: true, Draining: true})
@@ -137,7 +137,7 @@
 	assert.Equal(t, f.pool.Capacity(), 4)
 }
 
-// Guards against requests that are sent again and again to a full target.
+// Guards against requests that are sent repeatedly, without a pause, to a full target.
 func TestShedPausesTarget(t *testing.T) {
 	f := newFixture(1)
 	f.request(1, time.Millisecond, Shed)
@@ -147,7 +147,7 @@
 	assert.Equal(t, f.state("t00000").Suspicion, "trusted")
 }
 
-// Guards against checks that are missed, doubled or bunched.
+// Guards against health checks that are missed, repeated or not spread over the interval.
 func TestCheckSchedule(t *testing.T) {
 	f := newFixture(20)
 	f.advance(20 * time.Millisecond)
@@ -165,9 +165,9 @@
 	assert.Assert(t, most < 8, "%d new targets checked in one tick", most)
 }
 
-// Guards against a response that withdraws the drain of a target: the restart
-// of a recovered target also leads out of draining.
-func TestResponseDoesNotWithdrawDrain(t *testing.T) {
+// Guards against a successful request that cancels the drain of a target. The restart
+// event of a recovered target would also end the draining state.
+func TestResponseDoesNotCancelDrain(t *testing.T) {
 	f := newFixture(4)
 	var leases []Lease
 	for range 2 {
--- a/internal/spread/lease.go
+++ b/internal/spread/lease.go
@@ -2,8 +2,8 @@
 
 import "arbutusdock.example/arbutusdock/internal/ids"
 
-// run is a request that holds a slot. Running requests are linked in order of
-// their start.
+// activeRequest is a request that holds a slot. Requests that have not reached the run
+// time of long ones are linked in order of start time.
 type activeRequest struct {
 	target        int32
 	next, prev    int32
@@ -12,13 +12,13 @@
 	class         Class
 	probe         bool
 	active        bool
-	overThreshold bool // taken off the list because it has run long
+	overThreshold bool // reached the run time of long requests and left the list
 }
 
-// Acquire takes a free slot for a request of class c. avoid is a target that
-// has failed this request; it is chosen only when no other target is usable.
-// ok is false when there is no free slot, or long requests hold as many slots
-// as they may.
+// Acquire reserves a free slot for a request of class c. avoid is a target on which
+// this request has failed; it is selected only when no other target is usable. ok is
+// false when there is no free slot, or c is Long and long requests hold as many slots
+// as LongLimit allows.
 func (p *Pool) Acquire(now ids.Time, c Class, avoid ids.Target) (l Lease, ok bool) {
 	p.now = now
 	if c == Long && p.longRunning >= p.LongLimit(p.usable) {
@@ -37,8 +37,8 @@
 	return p.start(now, i, c, false), true
 }
 
-// pick returns the target to use next: of the targets that have been idle
-// longest the fastest one, other than avoid.
+// pickTarget returns the target to use next: the fastest of the pickLimit targets that
+// have been idle longest, other than avoid.
 func (p *Pool) pickTarget(now ids.Time, avoid ids.Target) int32 {
 	best, bestScore := none, 0.0
 	i := p.freeHead
@@ -58,7 +58,7 @@
 		i = t.next
 	}
 	if best == none && p.freeHead != none && p.usable == p.targets[p.freeHead].usable {
-		return p.freeHead // there is no other usable target than avoid
+		return p.freeHead // avoid is the only usable target
 	}
 	return best
 }
@@ -73,9 +73,9 @@
 	return none
 }
 
-// AcquireTarget takes a free slot of one target, for a follow-up block of a
-// transfer that the target has begun. A draining or suspected target is
-// allowed, since no other one can continue the transfer.
+// AcquireTarget reserves a free slot of the given target, for a follow-up block of a
+// block-wise transfer that started on this target. The target may be draining or
+// suspected, since no other target can continue the transfer.
 func (p *Pool) AcquireTarget(now ids.Time, name ids.Target) (l Lease, ok bool) {
 	p.now = now
 	i, found := p.byName[name]
@@ -85,8 +85,8 @@
 	return p.start(now, i, Short, false), true
 }
 
-// start records a running request and moves its target to the end of the list
-// of free targets.
+// start records a running request and moves its target to the end of the list of
+// targets with a free slot.
 func (p *Pool) start(now ids.Time, i int32, c Class, probe bool) Lease {
 	r := p.freeRequest
 	if r == none {
@@ -115,8 +115,8 @@
 	return Lease{Target: t.name, Endpoint: t.endpoint, request: r, gen: e.gen}
 }
 
-// Release frees the slot of l. key is the key given to Classify. A lease that
-// has been released already is ignored.
+// Release frees the slot of l and records the outcome. key is the key that was passed
+// to Classify. A lease that is already released is ignored.
 func (p *Pool) Release(now ids.Time, l Lease, key uint64, o Outcome) {
 	p.now = now
 	if int(l.request) >= len(p.requests) {
@@ -151,7 +151,7 @@
 	p.freeIfUnused(e.target)
 }
 
-// detach takes a run off the list of running requests.
+// unlinkRequest removes a request from the list of running requests.
 func (p *Pool) unlinkRequest(r int32) {
 	e := &p.requests[r]
 	if e.prev != none {
@@ -167,8 +167,8 @@
 	e.prev, e.next = none, none
 }
 
-// observe counts requests as long that were predicted short but have run as
-// long as a long one.
+// reclassifyLong changes the class of running requests that were predicted short to
+// Long once their run time reaches that of long requests.
 func (p *Pool) reclassifyLong(now ids.Time) {
 	threshold := p.predictor.longThreshold()
 	if threshold == 0 {
@@ -189,7 +189,8 @@
 	}
 }
 
-// tick advances the timers: slow start, pauses and probe back-off.
+// tick processes the timers: slow start, pauses, the wait for the first check and the
+// probe back-off.
 func (p *Pool) tick(now ids.Time) {
 	p.now = now
 	p.reclassifyLong(now)
--- a/internal/spread/pool.go
+++ b/internal/spread/pool.go
@@ -11,35 +11,35 @@
 	"arbutusdock.example/arbutusdock/internal/ids"
 )
 
-// none marks the end of an index list.
+// none is the nil index of the linked lists.
 const none = int32(-1)
 
-// Pool holds the owned slots of one service with the health of their targets,
-// the run times of requests and the feeds placed on them.
+// Pool manages the owned slots of one service, with the health of their targets, the
+// run times of requests and the feeds assigned to the targets.
 type Pool struct {
 	service     ids.Service
 	seed        uint64
-	draining    map[ids.Target]bool // targets of the service, owned or not; true when draining
+	draining    map[ids.Target]bool // all targets of the service, owned or not; true when draining by configuration
 	byName      map[ids.Target]int32
 	targets     []*target
-	freeEntries []int32 // entries of targets that may be reused
+	freeEntries []int32 // free entries of targets
 
 	spread   config.Spread
 	maxFeeds int
 
-	panicTotal         int   // targets that count for the panic threshold
-	panicSuspected     int   // suspected ones among them
-	usable             int   // usable owned slots
-	free               int   // free ones among them
-	awaitingCheckSlots int   // owned slots that wait for the first health check
-	probesDue          int   // suspected targets that are due for a probe request
-	freeHead           int32 // targets with a free slot, longest idle first
+	panicTotal         int   // number of targets that count for the panic threshold
+	panicSuspected     int   // number of suspected ones among them
+	usable             int   // number of usable owned slots
+	free               int   // number of free ones among them
+	awaitingCheckSlots int   // number of owned slots that wait for the first health check
+	probesDue          int   // number of suspected targets that are due for a probe request
+	freeHead           int32 // list of targets with a free slot, longest idle first
 	freeTail           int32
-	panicMode          bool    // suspicion is ignored
+	panicMode          bool    // more than half of the targets are suspected, so suspicion is ignored
 	timers             []int32 // targets with a running timer
-	checkOrder         []int32 // targets with a health endpoint, in order of check phase
-	checkCursor        int     // next in order
-	checkNow           []int32 // new targets, to be checked at once
+	checkOrder         []int32 // targets with a health endpoint, sorted by check phase
+	checkCursor        int     // index in checkOrder of the next check
+	checkNow           []int32 // targets to be checked at the next tick
 
 	requests    []activeRequest
 	freeRequest int32
@@ -49,9 +49,9 @@
 	newest      int32
 
 	feeds      int
-	feedOffset int // rotates the choice among equal targets
+	feedOffset int // start of the next search, rotated to spread feeds over equal targets
 	predictor  predictor
-	now        ids.Time // of the last call that carried a time
+	now        ids.Time // time of the last call with a time
 }
 
 func newPool(service ids.Service, seed uint64) *Pool {
@@ -63,24 +63,25 @@
 	}
 }
 
-// idle reports that nothing is owned, running or placed.
+// idle reports whether the pool has no targets, running requests or feeds.
 func (p *Pool) idle() bool { return p.running == 0 && p.feeds == 0 && len(p.byName) == 0 }
 
-// update takes over the ownership and the profile of s.
+// update applies the ownership and the profile of s.
 func (p *Pool) update(now ids.Time, s *service, self ids.Instance) {
 	now = max(now, p.now)
 	p.now = now
 	p.spread, p.maxFeeds = s.profile.Spread, s.profile.Protect.MaxFeeds
 	p.predictor.longFactor = cmp.Or(p.spread.LongFactor, defaultLongFactor)
 	clear(p.draining)
-	// In order of name, as the order of entries decides between equal targets.
+	// Sorted by name for determinism: the order of entries breaks ties between
+	// targets.
 	for _, name := range slices.Sorted(maps.Keys(s.targets)) {
 		m := s.targets[name]
 		p.draining[name] = m.Draining
 		owned := s.assignment.targets[m.placementIndex].ownedBy(self)
 		i, found := p.byName[name]
 		if found && p.targets[i].endpoint != m.Address {
-			p.remove(i) // another backend server has taken over the name
+			p.remove(i) // the name now refers to another backend server
 			found = false
 		}
 		switch {
@@ -108,7 +109,7 @@
 	p.recount(now)
 }
 
-// add creates the entry of a target.
+// add creates the entry of a target and returns its index.
 func (p *Pool) add(now ids.Time, m *serviceTarget, owned int) int32 {
 	t := &target{name: m.Name, endpoint: m.Address, lifecycle: chart.Backend.New(), suspicion: chart.Suspicion.New(),
 		owned: owned, next: none, prev: none, slowness: 1}
@@ -116,8 +117,8 @@
 	if m.addedAt == 0 || !now.Before(t.slowUntil) {
 		t.lifecycle.Fire(chart.BackendReady)
 	} else if m.Health != "" {
-		// A new target is used once a check or a probe request has shown that
-		// it is up.
+		// A new target is suspected until a health check or a probe request has
+		// shown that it is up.
 		t.suspicion.Fire(chart.SuspicionSilent)
 		t.unverified = true
 		t.suspectedAt, t.backOff = now, minBackOff
@@ -137,9 +138,10 @@
 	return i
 }
 
-// checkFirst asks for a health check at once and delays the use of target i
-// until its result: a drain that only the health endpoint reports is known to
-// the previous owner alone.
+// requestFirstCheck schedules an immediate health check of target i and delays the
+// use of the target until the result arrives, for at most firstCheckWait. The state of
+// the target at the previous owner is not available here, so a drain that only the
+// health endpoint reports is unknown until then.
 func (p *Pool) requestFirstCheck(now ids.Time, i int32, m *serviceTarget) {
 	p.checkNow = append(p.checkNow, i)
 	if m.Health != "" {
@@ -147,7 +149,7 @@
 	}
 }
 
-// remove ends the life of a target. Its entry stays while requests run.
+// remove removes a target. Its entry is kept while requests run on it.
 func (p *Pool) remove(i int32) {
 	t := p.targets[i]
 	delete(p.byName, t.name)
@@ -159,8 +161,8 @@
 	p.freeIfUnused(i)
 }
 
-// reap frees the entry of a target that is gone or no longer owned, once
-// nothing runs on it.
+// freeIfUnused frees the entry of a target without owned slots, running requests
+// and feeds.
 func (p *Pool) freeIfUnused(i int32) {
 	t := p.targets[i]
 	if t == nil || t.owned > 0 || t.inUse > 0 || t.feeds > 0 {
@@ -187,8 +189,8 @@
 	return list
 }
 
-// recount rebuilds the counters and the order of health checks after a change
-// of ownership.
+// recount rebuilds the counters and the order of health checks after a change of
+// ownership or draining.
 func (p *Pool) recount(now ids.Time) {
 	p.panicTotal, p.panicSuspected = 0, 0
 	p.checkOrder = p.checkOrder[:0]
@@ -216,16 +218,17 @@
 	}
 }
 
-// setPanic decides whether suspicion is ignored: more than half of the
-// targets are suspected, so the cause is more likely on this side.
+// updatePanicMode enables panic mode while more than half of the targets are
+// suspected, and reports whether the mode changed. The cause is then more likely on
+// the side of this instance, so suspicion is ignored.
 func (p *Pool) updatePanicMode() bool {
 	was := p.panicMode
 	p.panicMode = p.panicTotal >= panicTargets && p.panicSuspected*2 > p.panicTotal
 	return p.panicMode != was
 }
 
-// refresh brings the counters and the list of free targets up to date with
-// the state of target i.
+// refresh updates the counters, the list of targets with a free slot and the list of
+// timers after a change of target i.
 func (p *Pool) refresh(now ids.Time, i int32) {
 	t := p.targets[i]
 	p.endSlowStart(now, t)
@@ -260,7 +263,7 @@
 	}
 }
 
-// timer returns the latest of the running timers of t.
+// timersEnd returns the time at which the last of the running timers of t expires.
 func (t *target) timersEnd() ids.Time {
 	end := max(t.pausedUntil, t.firstCheckDeadline)
 	if t.lifecycle.State() == chart.BackendStarting {
@@ -301,12 +304,12 @@
 	t.inFreeList = false
 }
 
-// Capacity returns the number of usable owned slots, including one for each
-// suspected target that is due for a probe request and those that become
-// usable when the first health check ends.
+// Capacity returns the number of usable owned slots, plus one for each suspected
+// target that is due for a probe request, plus the slots that become usable after the
+// first health check.
 func (p *Pool) Capacity() int { return p.usable + p.probesDue + p.awaitingCheckSlots }
 
-// Free returns the number of slots that a request of class c may take now.
+// Free returns the number of free slots for requests of class c.
 func (p *Pool) Free(c Class) int {
 	if c == Long {
 		return min(p.free, max(p.LongLimit(p.usable)-p.longRunning, 0))
@@ -314,8 +317,8 @@
 	return p.free + p.probesDue
 }
 
-// LongLimit is the greatest number of slots that long requests hold of a total
-// of slots.
+// LongLimit returns the maximum number of slots that long requests may hold, out of
+// the given number of slots.
 func (p *Pool) LongLimit(slots int) int {
 	share := cmp.Or(p.spread.LongShare, defaultLongShare)
 	return max(1, int(share*float64(slots)))
@@ -324,31 +327,30 @@
 // Usable returns the number of usable owned slots, free or not.
 func (p *Pool) Usable() int { return p.usable }
 
-// LongInUse returns the number of slots that long requests hold.
+// LongInUse returns the number of slots that are held by long requests.
 func (p *Pool) LongInUse() int { return p.longRunning }
 
 // RunTime returns the mean run time of short requests.
 func (p *Pool) RunTime() time.Duration { return p.predictor.shortRunTime() }
 
-// ServiceRate returns the number of requests a second, short and long, that the usable
-// slots serve.
+// ServiceRate returns the number of requests per second, short and long, that the
+// slots of Capacity can serve.
 func (p *Pool) ServiceRate() float64 {
 	return float64(p.Capacity()) / max(p.predictor.overallMean, time.Microsecond).Seconds()
 }
 
-// Classify predicts the class of requests with this key, a hash of service,
-// code and Uri-Path.
+// Classify predicts the class of requests with the given key, a hash of service, code
+// and Uri-Path.
 func (p *Pool) Classify(key uint64) Class { return p.predictor.classify(key) }
 
-// ImportRunTime takes over the run time of a long request that another owner reports,
-// so that one owner after the other does not first serve such a request as a
-// short one.
+// ImportRunTime records the run time of a long request reported by another owner.
+// Otherwise each owner would first classify such a request as short.
 func (p *Pool) ImportRunTime(key uint64, run time.Duration) { p.predictor.importRunTime(key, run) }
 
-// OutOfService reports whether target is draining, no longer part of the service or
-// not owned here. The health of a target that is not owned is not checked, so a
-// drain that only its health endpoint reports would go unnoticed, and no slot
-// of it will become free here.
+// OutOfService reports whether the target is draining, no longer part of the service,
+// or without slots owned by this instance. This instance does not check the health of
+// a target without owned slots, so it would miss a drain that only the health endpoint
+// reports, and no slot of such a target becomes free here.
 func (p *Pool) OutOfService(name ids.Target) bool {
 	draining, known := p.draining[name]
 	if !known || draining {
@@ -358,7 +360,7 @@
 	return !ok || p.targets[i].owned == 0 || p.targets[i].drainingOrGone()
 }
 
-// Targets appends the state of all owned targets to dst, in order of name.
+// Targets appends the state of all targets in the pool to dst, sorted by name.
 func (p *Pool) Targets(dst []TargetState) []TargetState {
 	start := len(dst)
 	for _, i := range p.byName {
--- a/internal/spread/pool_test.go
+++ b/internal/spread/pool_test.go
@@ -12,11 +12,11 @@
 	"pgregory.net/rapid"
 )
 
-// A fixed seed keeps the normal run repeatable; -rapid.seed overrides it.
+// A fixed seed makes the default run reproducible; -rapid.seed overrides it.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// Guards against uneven use: each owned target gets the same number of
-// requests, whatever the order in which they end.
+// Guards against uneven use of targets: each owned target must get the same number of
+// requests.
 func TestAcquireUsesTargetsEvenly(t *testing.T) {
 	f := newFixture(5)
 	used := map[ids.Target]int{}
@@ -30,8 +30,8 @@
 	}
 }
 
-// Guards against more requests than slots, and against a slot that is lost or
-// won by a second release.
+// Guards against more requests than slots, and against a repeated release that changes
+// the number of free slots.
 func TestAcquireBoundedBySlots(t *testing.T) {
 	f := newFixture(2)
 	var leases []Lease
@@ -50,9 +50,9 @@
 	assert.Equal(t, f.pool.Free(Short), 1)
 }
 
-// Guards against a retry on the target that has just failed the request while
-// another one is usable, and against no retry when it is the only one.
-func TestAcquireAvoids(t *testing.T) {
+// Guards against a retry on the target on which the request has just failed while
+// another one is usable, and against a refused retry when it is the only target.
+func TestAcquireAvoidsFailedTarget(t *testing.T) {
 	f := newFixture(2)
 	for range 2 {
 		l, ok := f.pool.Acquire(f.now, Short, "t00000")
@@ -65,8 +65,8 @@
 	assert.Assert(t, ok && l.Target == "t00000")
 }
 
-// Guards against head-of-line blocking: requests of a key that has run long
-// hold at most 60% of the slots, also those predicted short.
+// Guards against head-of-line blocking: long requests may hold at most 60% of the slots,
+// including requests that were predicted short but run long.
 func TestLongRequestsAreCapped(t *testing.T) {
 	f := newFixture(5)
 	for k := range uint64(20) {
@@ -88,8 +88,8 @@
 	assert.Assert(t, f.pool.RunTime() < 20*time.Millisecond)
 }
 
-// Guards against a dead target teaching that its requests are long, and
-// against a request that never ends in time being taken as short for ever.
+// Guards against requests being classified as long because their target is dead, and
+// against requests that always time out being classified as short.
 func TestPredictorAndTimeouts(t *testing.T) {
 	p := newPredictor()
 	for range 20 {
@@ -108,7 +108,7 @@
 	assert.Equal(t, p.classify(2), Short, "an unused key is evicted")
 }
 
-// Guards against a median that is off by more than its bucket width.
+// Guards against an error of the median above the bucket width.
 func TestMedian(t *testing.T) {
 	for _, d := range []time.Duration{20 * time.Microsecond, 3 * time.Millisecond, 47 * time.Millisecond, 9 * time.Second} {
 		p := newPredictor()
@@ -120,8 +120,8 @@
 	}
 }
 
-// Guards against lost or double-counted slots when ownership, health and
-// requests change in any order.
+// Guards against slots that are lost or counted twice when ownership, health and requests
+// change in any order.
 func TestPoolCounters(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		f := newFixture(6)
@@ -187,8 +187,8 @@
 	assert.Equal(r, n, listed)
 }
 
-// Guards against a pool that disappears while its requests run, and against
-// one that stays for ever.
+// Guards against a pool that is deleted while its requests run, and against one that is
+// never deleted.
 func TestPoolOutlivesOwnership(t *testing.T) {
 	f := newFixture(1)
 	l, _ := f.pool.Acquire(f.now, Short, "")
@@ -201,9 +201,9 @@
 	assert.Assert(t, f.Pool("s") == nil)
 }
 
-// Guards against feeds that stay at a target whose slots another instance has
-// taken over: its health is not checked here, so a drain would go unnoticed.
-func TestTargetOfAnotherOwnerIsLeft(t *testing.T) {
+// Guards against feeds that stay on a target whose slots have moved to another instance.
+// This instance no longer checks its health, so it would miss a drain.
+func TestTargetWithoutOwnedSlotsIsOutOfService(t *testing.T) {
 	f := newFixture(3)
 	f.SetInstances(f.now, instanceNames(3))
 	f.pool = f.Pool("s")
@@ -219,8 +219,8 @@
 	assert.Assert(t, f.pool.OutOfService(name))
 }
 
-// Guards against feeds that pile up on one target, exceed the limit of the
-// profile or go to a target that is leaving.
+// Guards against feeds that concentrate on one target, exceed the limit of the profile or
+// go to a draining target.
 func TestFeedsAreEvenAndBounded(t *testing.T) {
 	f := newFixture(4)
 	f.r.Service.Targets[3].Draining = true
@@ -240,8 +240,8 @@
 	assert.Assert(t, f.pool.OutOfService("t00003") && !f.pool.OutOfService("t00000") && f.pool.OutOfService("unknown"))
 }
 
-// Guards against a target that keeps its old address, health and requests
-// when another backend server takes over its name.
+// Guards against a target that keeps its old address, health and running requests when
+// its name is reassigned to another backend server.
 func TestTargetMovesToNewAddress(t *testing.T) {
 	f := newFixture(3)
 	l, _ := f.pool.AcquireTarget(f.now, "t00000")
@@ -255,8 +255,8 @@
 	assert.Equal(t, f.state("t00000").Suspicion, "suspected", "unproven until checked")
 }
 
-// Guards against a target that is used as much as the others although its
-// slots are also used by an instance with another membership list.
+// Guards against a slow target that is used as much as the others. A target is slow, for
+// example, when its slots are also used by an instance with a different membership list.
 func TestAcquirePrefersFastTargets(t *testing.T) {
 	f := newFixture(5)
 	used := map[ids.Target]int{}
@@ -271,14 +271,14 @@
 		f.pool.Release(f.now, l, 1, Success)
 	}
 	assert.Assert(t, used["t00003"] < 20, "%v", used)
-	for range 10 { // saturated: all slots are used
+	for range 10 { // under saturation all slots must be used, also the slow ones
 		_, ok := f.pool.Acquire(f.now, Short, "")
 		assert.Assert(t, ok)
 	}
 }
 
-// Guards against decisions that depend on the order of a map: the core promises
-// that two runs with the same events decide alike.
+// Guards against decisions that depend on map iteration order. The core guarantees that
+// two runs with the same events make the same decisions.
 func TestPoolIsDeterministic(t *testing.T) {
 	trace := func() (list []ids.Target) {
 		f := newFixture(12)
@@ -299,7 +299,7 @@
 	}
 }
 
-// Guards against work for the garbage collector on the path of every request.
+// Guards against allocations, and so garbage collection, on the path of every request.
 func TestSteadyStateDoesNotAllocate(t *testing.T) {
 	f := newFixture(15)
 	due := func(ids.Service, ids.Target, string) {}
@@ -318,10 +318,9 @@
 	assert.Equal(t, testing.AllocsPerRun(1000, cycle), 0.0)
 }
 
-// Guards against a service rate that leaves out long requests, which hold much
-// of the slot time: refused callers would return at twice the rate that can be
-// served.
-func TestRateCountsLongRequests(t *testing.T) {
+// Guards against a service rate that ignores long requests, which hold much of the slot
+// time. Refused callers would then retry at twice the rate that can be served.
+func TestServiceRateCountsLongRequests(t *testing.T) {
 	f := newFixture(5)
 	for i := range 2000 {
 		key, run := uint64(1), 10*time.Millisecond
@@ -330,6 +329,6 @@
 		}
 		f.request(key, run, Success)
 	}
-	want := 10 / 0.0198 // slots over mean run time
+	want := 10 / 0.0198 // slots divided by mean run time
 	assert.Assert(t, f.pool.ServiceRate() > want/2 && f.pool.ServiceRate() < want*2, "%v, want about %v", f.pool.ServiceRate(), want)
 }
--- a/internal/spread/predict.go
+++ b/internal/spread/predict.go
@@ -5,54 +5,55 @@
 	"time"
 )
 
-// Defaults for a profile that leaves the values out.
+// Default values for settings that the profile omits.
 const (
 	defaultLongFactor = 8
 	defaultLongShare  = 0.6
-	// initialRunTime stands for the run time of short requests until one has
-	// been seen.
+	// initialRunTime is the initial value of the mean run times.
 	initialRunTime = 20 * time.Millisecond
 )
 
-// UntrackedKey is the key of requests whose run time says nothing about others.
-// They are short.
+// UntrackedKey is the key of requests whose run times are not recorded, because they do
+// not predict those of other requests. Such requests are classified as short.
 const UntrackedKey uint64 = 0
 
 const (
-	predictorSets   = 128 // times predictorWays keys with a history
+	predictorSets   = 128 // number of sets; each holds the history of predictorWays keys
 	predictorWays   = 4
-	timeoutsForLong = 3
-	// slotWindow is long, since a few long requests hold much of the slot time.
+	timeoutsForLong = 3 // consecutive timeouts after which a key is long
+	// overallMeanWindow is the window of the mean over all requests. It is large
+	// because a few long requests hold much of the slot time.
 	overallMeanWindow = 256
-	// medianLearned is the number of run times before the median is trusted.
+	// minMedianSamples is the number of run times from which the median is used.
 	minMedianSamples = 8
-	// medianWindow halves the weight of older run times, so that the median
-	// follows a change of the service.
+	// medianWindow is the number of run times after which the weight of all recorded
+	// ones is halved, so that the median follows changes of the service.
 	medianWindow = 1024
-	// Run times are counted in buckets of 1/4 octave from 16 µs, which bounds
-	// the error of the median to 10%.
+	// Run times are counted in a histogram with 4 buckets per power of two, starting
+	// at 16 µs. This limits the error of the median to 10%.
 	medianBuckets  = 96
-	medianBaseBits = 14 // 2^14 ns
+	medianBaseBits = 14 // the first bucket starts at 2^14 ns
 )
 
-// history is the moving average of the run time of one key.
+// history holds the moving average of the run times of one key.
 type history struct {
 	key      uint64
 	mean     time.Duration
-	lastUsed uint32 // clock of the last use, for eviction
-	timeouts uint32 // since the last success
+	lastUsed uint32 // predictor.clock at the last use, for eviction
+	timeouts uint32 // timeouts since the last success
 }
 
-// predictor learns the run times of one service.
+// predictor estimates the run times of the requests of one service. Histories of keys
+// are kept in a set-associative cache with LRU eviction.
 type predictor struct {
 	sets        [predictorSets][predictorWays]history
 	clock       uint32
 	counts      [medianBuckets]uint32
 	samples     uint32
-	median      time.Duration // cached median
-	sinceMedian uint32        // run times since mid was computed
+	median      time.Duration // cached median of the run times
+	sinceMedian uint32        // run times recorded since the median was computed
 	shortMean   time.Duration
-	overallMean time.Duration // of all requests
+	overallMean time.Duration // moving average over short and long requests
 	longFactor  float64
 }
 
@@ -62,8 +63,8 @@
 
 func (p *predictor) shortRunTime() time.Duration { return p.shortMean }
 
-// threshold returns the run time from which a request is long, 0 while too
-// little is known.
+// longThreshold returns the run time above which a request is long, 0 while fewer than
+// minMedianSamples run times have been recorded.
 func (p *predictor) longThreshold() time.Duration {
 	if p.samples < minMedianSamples {
 		return 0
@@ -78,7 +79,7 @@
 	return Short
 }
 
-// expected returns the mean run time of requests with key, 0 when unknown.
+// expected returns the mean run time of requests with the given key, 0 when unknown.
 func (p *predictor) expected(key uint64) time.Duration {
 	if key == UntrackedKey {
 		return 0
@@ -92,8 +93,8 @@
 	return 0
 }
 
-// adopt takes the run time of a request with a key that has no history here
-// from another owner.
+// importRunTime records a run time reported by another owner, if the key has no history
+// here.
 func (p *predictor) importRunTime(key uint64, run time.Duration) {
 	if key == UntrackedKey || run <= 0 || p.expected(key) > 0 {
 		return
@@ -101,9 +102,9 @@
 	p.historyFor(key).mean = run
 }
 
-// learn takes the run time of a request into account. A timeout says as much
-// about a dead target as about the request: only a row of them without a
-// success makes the request long.
+// record records the run time of a request. A timeout may be caused by a dead target
+// as well as by a long request, so a key becomes long only after timeoutsForLong
+// timeouts without a success between them.
 func (p *predictor) record(key uint64, run time.Duration, c Class, o Outcome) {
 	if key == UntrackedKey || run <= 0 || o != Success && o != Timeout {
 		return
@@ -128,8 +129,8 @@
 	}
 }
 
-// find returns the history of key; a new key replaces the least recently used
-// one of its set.
+// historyFor returns the history of key. A new key replaces the least recently used one
+// of its set.
 func (p *predictor) historyFor(key uint64) *history {
 	p.clock++
 	set := &p.sets[key%predictorSets]
@@ -148,7 +149,7 @@
 	return oldest
 }
 
-// bucket returns the index of the quarter octave that holds d.
+// bucket returns the index of the histogram bucket of d.
 func bucket(d time.Duration) int {
 	v := uint64(max(d, 1<<medianBaseBits))
 	exp := bits.Len64(v) - 1
@@ -156,14 +157,14 @@
 	return min((exp-medianBaseBits)*4+int(quarter), medianBuckets-1)
 }
 
-// bucketMiddle returns the middle of bucket i.
+// bucketMiddle returns the middle of histogram bucket i.
 func bucketMiddle(i int) time.Duration {
 	exp, quarter := i/4+medianBaseBits, i%4
 	return time.Duration(uint64(9+2*quarter) << (exp - 3))
 }
 
-// count adds a run time to the median. The cached median is computed again
-// after an eighth of the values has changed.
+// addToMedian adds a run time to the histogram. The cached median is recomputed after
+// an eighth of the values has changed.
 func (p *predictor) addToMedian(run time.Duration) {
 	p.counts[bucket(run)]++
 	p.samples++
