--- a/internal/admission/limit.go
+++ b/internal/admission/limit.go
@@ -10,20 +10,20 @@
 }
 
 // CanQueue reports whether a request may be queued behind backlog other requests that
-// use the same slots. run is the mean run time. slots may be fractional: it is a
+// use the same slots. runTime is the mean run time. slots may be fractional: it is a
 // partner's share of the owned slots.
-func (l *Limiter) CanQueue(backlog int, run time.Duration, slots float64) bool {
+func (l *Limiter) CanQueue(backlog int, runTime time.Duration, slots float64) bool {
 	if backlog >= l.MaxLength || slots <= 0 {
 		return false
 	}
-	wait := ExpectedWait(backlog, run, slots)
-	return wait <= l.MaxQueueTime && wait+run <= l.Deadline
+	wait := ExpectedWait(backlog, runTime, slots)
+	return wait <= l.MaxQueueTime && wait+runTime <= l.Deadline
 }
 
 // ExpectedWait returns the expected queue time of a request behind backlog other
-// requests, for the given number of slots and the mean run time run.
-func ExpectedWait(backlog int, run time.Duration, slots float64) time.Duration {
-	return time.Duration(float64(backlog) * float64(run) / slots)
+// requests, for the given number of slots and mean run time.
+func ExpectedWait(backlog int, runTime time.Duration, slots float64) time.Duration {
+	return time.Duration(float64(backlog) * float64(runTime) / slots)
 }
 
 // maxRetryTokens is the maximum burst of retries after a period without retries.
--- a/internal/admission/table.go
+++ b/internal/admission/table.go
@@ -203,10 +203,10 @@
 	return n
 }
 
-// Evict removes entries older than EntryLifetime, at most max of them. Entries are
+// Evict removes entries older than EntryLifetime, at most limit of them. Entries are
 // examined in order of insertion, so an imported entry may be kept longer.
-func (t *Table) Evict(now ids.Time, max int) {
-	for ; max > 0 && t.length > 0; max-- {
+func (t *Table) Evict(now ids.Time, limit int) {
+	for ; limit > 0 && t.length > 0; limit-- {
 		e := t.at(0)
 		if now.Sub(e.Admitted) <= EntryLifetime {
 			return
--- a/internal/share/queue_test.go
+++ b/internal/share/queue_test.go
@@ -105,12 +105,12 @@
 			case 4:
 				q.Charge(p, time.Duration(rapid.IntRange(-50, 50).Draw(r, "charge")))
 			case 5:
-				odd := func(v int) bool { return v%5 == 0 }
-				q.RemoveIf(odd, func(v int) { assert.Assert(r, odd(v)); n-- })
+				match := func(v int) bool { return v%5 == 0 }
+				q.RemoveIf(match, func(v int) { assert.Assert(r, match(v)); n-- })
 				for p, list := range queued {
 					var rest []int
 					for _, v := range list {
-						if !odd(v) {
+						if !match(v) {
 							rest = append(rest, v)
 						}
 					}
@@ -142,12 +142,12 @@
 	assert.DeepEqual(t, got, map[ids.Partner]float64{"a": 10, "b": 60, "c": 30})
 	rapid.Check(t, func(r *rapid.T) {
 		demand, weight := map[ids.Partner]float64{}, map[ids.Partner]uint32{}
-		want := 0.0
+		totalDemand := 0.0
 		for i := range rapid.IntRange(0, 6).Draw(r, "partners") {
 			p := ids.Partner(fmt.Sprint(i))
 			demand[p] = rapid.Float64Range(0, 100).Draw(r, "demand")
 			weight[p] = rapid.Uint32Range(0, 5).Draw(r, "weight")
-			want += demand[p]
+			totalDemand += demand[p]
 		}
 		capacity := rapid.Float64Range(0, 300).Draw(r, "capacity")
 		sum := 0.0
@@ -155,7 +155,7 @@
 			assert.Assert(r, v <= demand[p])
 			sum += v
 		}
-		assert.Assert(r, math.Abs(sum-min(capacity, want)) < 1e-6, "%v of %v", sum, want)
+		assert.Assert(r, math.Abs(sum-min(capacity, totalDemand)) < 1e-6, "%v of %v", sum, totalDemand)
 	})
 }
 
--- a/internal/share/returns.go
+++ b/internal/share/returns.go
@@ -16,7 +16,7 @@
 type RetryPacer struct {
 	Min, Max     time.Duration
 	LoadFraction float64  // of the service rate, 0 to 1
-	nextReturn   ids.Time // earliest time of the next retry to be scheduled
+	nextRetry    ids.Time // earliest time of the next retry to be scheduled
 }
 
 // RetryAfter schedules a retry and returns the delay until then in whole seconds, the
@@ -27,10 +27,10 @@
 func (r *RetryPacer) RetryAfter(now ids.Time, rate float64, rng *rand.Rand) uint32 {
 	// Retries that would be due after Max are scheduled at Max. Accumulating the
 	// excess would delay later retries without need.
-	r.nextReturn = min(max(r.nextReturn, now.Add(r.Min)), now.Add(r.Max))
-	delay := r.nextReturn.Sub(now)
-	if returnRate := rate * r.LoadFraction; returnRate > 0 {
-		r.nextReturn = r.nextReturn.Add(time.Duration(float64(time.Second) / returnRate))
+	r.nextRetry = min(max(r.nextRetry, now.Add(r.Min)), now.Add(r.Max))
+	delay := r.nextRetry.Sub(now)
+	if retryRate := rate * r.LoadFraction; retryRate > 0 {
+		r.nextRetry = r.nextRetry.Add(time.Duration(float64(time.Second) / retryRate))
 	}
 	delay = delay/2 + time.Duration(rng.Float64()*float64(delay))
 	minSeconds, maxSeconds := uint32((r.Min+time.Second-1)/time.Second), uint32(r.Max/time.Second)
--- a/internal/share/returns_test.go
+++ b/internal/share/returns_test.go
@@ -15,14 +15,14 @@
 	r := RetryPacer{Min: time.Second, Max: 300 * time.Second, LoadFraction: 0.25}
 	rng := rand.New(rand.NewPCG(1, 2))
 	const rate = 400
-	back := make([]int, 600) // number of retries in each second
+	retries := make([]int, 600) // number of retries in each second
 	for i := range 10 * 800 {
 		now := ids.Time(time.Duration(i) * time.Second / 800)
 		s := r.RetryAfter(now, rate, rng)
 		assert.Assert(t, s >= 1 && s <= 300)
-		back[i/800+int(s)]++
+		retries[i/800+int(s)]++
 	}
-	for second, n := range back {
+	for second, n := range retries {
 		assert.Assert(t, n <= rate/4*3/2, "%d callers return in second %d", n, second)
 	}
 }
--- a/internal/spread/assign_test.go
+++ b/internal/spread/assign_test.go
@@ -53,14 +53,14 @@
 		tab := NewTable("", dc, 1)
 		tab.SetService(startTime, testService("s", rapid.IntRange(1, 20).Draw(r, "targets")))
 		for range rapid.IntRange(1, 8).Draw(r, "steps") {
-			var view []ids.Instance
+			var members []ids.Instance
 			for _, id := range all {
 				if rapid.Bool().Draw(r, string(id)) {
-					view = append(view, id)
+					members = append(members, id)
 				}
 			}
-			tab.SetInstances(startTime, view)
-			fresh := newTestTable(view, len(tab.services["s"].assignment.targets))
+			tab.SetInstances(startTime, members)
+			fresh := newTestTable(members, len(tab.services["s"].assignment.targets))
 			for i, p := range tab.services["s"].assignment.targets {
 				assert.Equal(r, p.owner, fresh.services["s"].assignment.targets[i].owner)
 			}
@@ -78,17 +78,17 @@
 func TestHomeMovesFewFlows(t *testing.T) {
 	for _, targets := range []int{15, 400} {
 		before, after := newTestTable(instanceNames(5), targets), newTestTable(instanceNames(4), targets)
-		moved, own, flows := 0, 0, 10000
+		moved, onLeaving, flows := 0, 0, 10000
 		for flow := range uint64(flows) {
 			a, _ := before.Home("s", ids.Mix(flow, 7))
 			b, _ := after.Home("s", ids.Mix(flow, 7))
 			if a == "instance-004" {
-				own++
+				onLeaving++
 			} else if a != b {
 				moved++
 			}
 		}
-		assert.Assert(t, own > flows/8 && own < flows*3/10, "%d targets: own %d", targets, own)
+		assert.Assert(t, onLeaving > flows/8 && onLeaving < flows*3/10, "%d targets: own %d", targets, onLeaving)
 		assert.Assert(t, moved < flows/10, "%d targets: moved %d", targets, moved)
 	}
 }
--- a/internal/spread/fixture_test.go
+++ b/internal/spread/fixture_test.go
@@ -75,13 +75,13 @@
 	}
 }
 
-// request runs one request with run time run on the next target and returns the target.
-func (f *fixture) request(key uint64, run time.Duration, o Outcome) (ids.Target, bool) {
+// request runs one request with the given run time on the next target and returns the target.
+func (f *fixture) request(key uint64, runTime time.Duration, o Outcome) (ids.Target, bool) {
 	l, ok := f.pool.Acquire(f.now, f.pool.Classify(key), "")
 	if !ok {
 		return "", false
 	}
-	f.now = f.now.Add(run)
+	f.now = f.now.Add(runTime)
 	f.pool.Release(f.now, l, key, o)
 	return l.Target, true
 }
--- a/internal/spread/health_test.go
+++ b/internal/spread/health_test.go
@@ -93,9 +93,9 @@
 	f.pool.Release(f.now+ms, l, 1, Success)
 	assert.Equal(t, f.state("t00002").Suspicion, "trusted")
 	assert.Equal(t, f.pool.Capacity(), 3, "one slot of t00002 during slow start")
-	one := newFixture(1)
-	one.failUntilSuspected("t00000")
-	assert.Equal(t, one.pool.Capacity(), 0)
+	single := newFixture(1)
+	single.failUntilSuspected("t00000")
+	assert.Equal(t, single.pool.Capacity(), 0)
 }
 
 // Guards against a new target that is used before it is up or without slow start, and
--- a/internal/spread/pool.go
+++ b/internal/spread/pool.go
@@ -41,14 +41,14 @@
 	checkCursor        int     // index in checkOrder of the next check
 	checkNow           []int32 // targets to be checked at the next tick
 
-	requests    []activeRequest
-	freeRequest int32
-	running     int
-	longRunning int // long requests that hold a slot
-	oldest      int32
+	requests    []activeRequest // running requests and free entries
+	freeRequest int32           // list of free entries in requests
+	running     int             // number of running requests
+	longRunning int             // number of long requests that hold a slot
+	oldest      int32           // list of running requests, in order of start time
 	newest      int32
 
-	feeds      int
+	feeds      int // number of open feeds
 	feedOffset int // start of the next search, rotated to spread feeds over equal targets
 	predictor  predictor
 	now        ids.Time // time of the last call with a time
@@ -222,9 +222,9 @@
 // suspected, and reports whether the mode changed. The cause is then more likely on
 // the side of this instance, so suspicion is ignored.
 func (p *Pool) updatePanicMode() bool {
-	was := p.panicMode
+	previous := p.panicMode
 	p.panicMode = p.panicTotal >= panicTargets && p.panicSuspected*2 > p.panicTotal
-	return p.panicMode != was
+	return p.panicMode != previous
 }
 
 // refresh updates the counters, the list of targets with a free slot and the list of
@@ -345,7 +345,9 @@
 
 // ImportRunTime records the run time of a long request reported by another owner.
 // Otherwise each owner would first classify such a request as short.
-func (p *Pool) ImportRunTime(key uint64, run time.Duration) { p.predictor.importRunTime(key, run) }
+func (p *Pool) ImportRunTime(key uint64, runTime time.Duration) {
+	p.predictor.importRunTime(key, runTime)
+}
 
 // OutOfService reports whether the target is draining, no longer part of the service,
 // or without slots owned by this instance. This instance does not check the health of
--- a/internal/spread/pool_test.go
+++ b/internal/spread/pool_test.go
@@ -60,8 +60,8 @@
 	}
 	_, ok := f.pool.Acquire(f.now, Short, "t00000")
 	assert.Assert(t, !ok)
-	one := newFixture(1)
-	l, ok := one.pool.Acquire(one.now, Short, "t00000")
+	single := newFixture(1)
+	l, ok := single.pool.Acquire(single.now, Short, "t00000")
 	assert.Assert(t, ok && l.Target == "t00000")
 }
 
--- a/internal/spread/predict.go
+++ b/internal/spread/predict.go
@@ -95,37 +95,37 @@
 
 // importRunTime records a run time reported by another owner, if the key has no history
 // here.
-func (p *predictor) importRunTime(key uint64, run time.Duration) {
-	if key == UntrackedKey || run <= 0 || p.expected(key) > 0 {
+func (p *predictor) importRunTime(key uint64, runTime time.Duration) {
+	if key == UntrackedKey || runTime <= 0 || p.expected(key) > 0 {
 		return
 	}
-	p.historyFor(key).mean = run
+	p.historyFor(key).mean = runTime
 }
 
 // record records the run time of a request. A timeout may be caused by a dead target
 // as well as by a long request, so a key becomes long only after timeoutsForLong
 // timeouts without a success between them.
-func (p *predictor) record(key uint64, run time.Duration, c Class, o Outcome) {
-	if key == UntrackedKey || run <= 0 || o != Success && o != Timeout {
+func (p *predictor) record(key uint64, runTime time.Duration, c Class, o Outcome) {
+	if key == UntrackedKey || runTime <= 0 || o != Success && o != Timeout {
 		return
 	}
 	h := p.historyFor(key)
 	if o == Timeout {
 		if h.timeouts++; h.timeouts >= timeoutsForLong {
-			h.mean = max(h.mean, run)
+			h.mean = max(h.mean, runTime)
 		}
 		return
 	}
 	h.timeouts = 0
 	if h.mean == 0 {
-		h.mean = run
+		h.mean = runTime
 	} else {
-		h.mean += (run - h.mean) / 4
+		h.mean += (runTime - h.mean) / 4
 	}
-	p.addToMedian(run)
-	p.overallMean += (run - p.overallMean) / overallMeanWindow
+	p.addToMedian(runTime)
+	p.overallMean += (runTime - p.overallMean) / overallMeanWindow
 	if c == Short {
-		p.shortMean += (run - p.shortMean) / 16
+		p.shortMean += (runTime - p.shortMean) / 16
 	}
 }
 
@@ -165,8 +165,8 @@
 
 // addToMedian adds a run time to the histogram. The cached median is recomputed after
 // an eighth of the values has changed.
-func (p *predictor) addToMedian(run time.Duration) {
-	p.counts[bucket(run)]++
+func (p *predictor) addToMedian(runTime time.Duration) {
+	p.counts[bucket(runTime)]++
 	p.samples++
 	p.sinceMedian++
 	if p.samples >= medianWindow {
--- a/internal/spread/table.go
+++ b/internal/spread/table.go
@@ -85,12 +85,12 @@
 // without slots are ignored, and so are repeated target names.
 func (t *Table) SetService(now ids.Time, r *config.Resolved) {
 	s := t.services[r.Service.Name]
-	var since ids.Time
+	var addedAt ids.Time
 	if s == nil {
 		s = &service{name: r.Service.Name}
 		t.services[s.name] = s
 	} else if !s.removed {
-		since = now
+		addedAt = now
 	}
 	s.removed = false
 	s.profile = r.Profile
@@ -102,7 +102,7 @@
 		if target.DataCentre != t.dc || target.Slots <= 0 || s.targets[target.Name] != nil {
 			continue
 		}
-		m := &serviceTarget{Target: target, addedAt: since}
+		m := &serviceTarget{Target: target, addedAt: addedAt}
 		if old := previous[target.Name]; old != nil && old.Address == target.Address {
 			m.addedAt = old.addedAt
 		}
--- a/internal/spread/target.go
+++ b/internal/spread/target.go
@@ -83,7 +83,7 @@
 	unverifiedWait = 5 * time.Second
 	// slownessWindow is the window of the moving average of slowness. A target whose
 	// slots are also used by other instances, because the membership lists differ,
-	// queues requests, so they take longer.
+	// queues requests and so shows a higher slowness.
 	slownessWindow = 16
 	// idleWeight is the penalty, in units of slowness, for each position in the list
 	// of targets with a free slot. The average over slownessWindow varies by 0.09 when
@@ -115,9 +115,9 @@
 func (t *target) countsForPanic() bool { return t.owned > 0 && !t.drainingOrGone() && !t.unverified }
 
 // usableSlots returns the number of owned slots that are available now, in use or not.
-func (t *target) usableSlots(now ids.Time, panicking bool) int {
+func (t *target) usableSlots(now ids.Time, panicMode bool) int {
 	switch {
-	case t.drainingOrGone(), t.unverified, now.Before(t.pausedUntil), t.awaitingFirstCheck(now), t.suspected() && !panicking:
+	case t.drainingOrGone(), t.unverified, now.Before(t.pausedUntil), t.awaitingFirstCheck(now), t.suspected() && !panicMode:
 		return 0
 	case t.lifecycle.State() == chart.BackendStarting && t.ownsFirstSlot:
 		return min(t.owned, 1)
