--- a/internal/daemon/addresses.go
+++ b/internal/daemon/addresses.go
@@ -10,58 +10,60 @@
 	"arbutusdock.example/arbutusdock/internal/settings"
 )
 
-// maxAddresses bounds the address book; a fleet has 2,500 instances.
-const maxAddresses = 1 << 14
+// maxBookEntries bounds the address book; a fleet has 2,500 instances.
+const maxBookEntries = 1 << 14
 
-// addresses tells where the link listener of each instance is. An address that
-// an instance states about itself, directly or by gossip, outranks that of the
-// platform's list, which lags, and both outrank the seeds of the settings.
-type addresses struct {
-	mu   sync.Mutex
-	book map[ids.Instance]address
+// addressBook maps each instance to the address of its link listener. An
+// address that an instance announces itself, directly or by gossip, takes
+// precedence over the one in the platform's instance list, which can be out of
+// date. Both take precedence over the seeds in the settings.
+type addressBook struct {
+	mu         sync.Mutex
+	byInstance map[ids.Instance]addressEntry
 }
 
-type address struct {
-	at   string
-	rank uint64 // 0 seed, 1 list, else the incarnation that stated it
+type addressEntry struct {
+	hostPort   string
+	precedence uint64 // 0: seed; 1: instance list; otherwise the incarnation that announced it
 }
 
-func newAddresses(seeds []settings.Seed) *addresses {
-	a := &addresses{book: make(map[ids.Instance]address)}
+func newAddressBook(seeds []settings.Seed) *addressBook {
+	a := &addressBook{byInstance: make(map[ids.Instance]addressEntry)}
 	for _, s := range seeds {
 		a.set(s.ID, s.Address.String(), 0)
 	}
 	return a
 }
 
-func (a *addresses) set(id ids.Instance, at string, rank uint64) {
-	if _, err := netip.ParseAddrPort(at); err != nil {
+func (a *addressBook) set(id ids.Instance, hostPort string, precedence uint64) {
+	if _, err := netip.ParseAddrPort(hostPort); err != nil {
 		return
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	old, known := a.book[id]
-	if (!known && len(a.book) < maxAddresses) || (known && rank >= old.rank) {
-		a.book[id] = address{at: at, rank: rank}
+	current, known := a.byInstance[id]
+	if (!known && len(a.byInstance) < maxBookEntries) || (known && precedence >= current.precedence) {
+		a.byInstance[id] = addressEntry{hostPort: hostPort, precedence: precedence}
 	}
 }
 
-func (a *addresses) lookup(id ids.Instance) (string, bool) {
+func (a *addressBook) lookup(id ids.Instance) (string, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	e, ok := a.book[id]
-	return e.at, ok
+	entry, ok := a.byInstance[id]
+	return entry.hostPort, ok
 }
 
-// list learns the platform's list.
-func (a *addresses) list(e *core.InstancesEvent) {
-	for _, i := range e.Instances {
-		a.set(i.ID, i.PeerAddr, 1)
+// updateFromList stores the addresses of the platform's instance list.
+func (a *addressBook) updateFromList(list *core.InstancesEvent) {
+	for _, listed := range list.Instances {
+		a.set(listed.ID, listed.PeerAddr, 1)
 	}
 }
 
-// learn learns the member records of a peer message.
-func (a *addresses) learn(m *peerwire.Message) {
+// updateFromMessage stores the addresses in the member records of a peer
+// message.
+func (a *addressBook) updateFromMessage(m *peerwire.Message) {
 	var members []peerwire.Member
 	switch {
 	case m.Heartbeat != nil:
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -12,7 +12,8 @@
 	"arbutusdock.example/arbutusdock/internal/ids"
 )
 
-// adminTimeout bounds a request of the admin interface.
+// adminTimeout limits the time for reading the header of an admin request and
+// for waiting until the core goroutine serves it.
 const adminTimeout = 2 * time.Second
 
 // adminHandler serves /debug/vars, /v1/state and /v1/explain.
@@ -24,13 +25,14 @@
 	return mux
 }
 
-// ask runs f in the core goroutine and waits until it has run.
-func (d *Daemon) ask(ctx context.Context, f func()) bool {
+// runInCore runs fn in the core goroutine and waits until it has returned. It
+// returns false when the core goroutine does not accept fn in time.
+func (d *Daemon) runInCore(ctx context.Context, fn func()) bool {
 	ctx, cancel := context.WithTimeout(ctx, adminTimeout)
 	defer cancel()
 	done := make(chan struct{})
 	select {
-	case d.queries <- func() { defer close(done); f() }:
+	case d.coreCalls <- func() { defer close(done); fn() }:
 	case <-ctx.Done():
 		return false
 	case <-d.ctx.Done():
@@ -48,43 +50,43 @@
 
 func (d *Daemon) serveState(w http.ResponseWriter, r *http.Request) {
 	var state State
-	if !d.ask(r.Context(), func() { state = State{Snapshot: d.core.Snapshot(), Details: d.core.ServiceDetails()} }) {
-		fault(w, http.StatusServiceUnavailable, "the core did not respond in time")
+	if !d.runInCore(r.Context(), func() { state = State{Snapshot: d.core.Snapshot(), Details: d.core.ServiceDetails()} }) {
+		writeError(w, http.StatusServiceUnavailable, "the core did not respond in time")
 		return
 	}
-	reply(w, state)
+	writeJSON(w, state)
 }
 
 func (d *Daemon) serveExplain(w http.ResponseWriter, r *http.Request) {
-	get := r.URL.Query().Get
-	q := core.Query{Service: ids.Service(get("service")), Method: strings.ToUpper(get("method")), Path: get("path"), Host: get("host")}
-	if q.Service == "" {
-		fault(w, http.StatusBadRequest, "parameter service is missing")
+	queryParam := r.URL.Query().Get
+	query := core.Query{Service: ids.Service(queryParam("service")), Method: strings.ToUpper(queryParam("method")), Path: queryParam("path"), Host: queryParam("host")}
+	if query.Service == "" {
+		writeError(w, http.StatusBadRequest, "parameter service is missing")
 		return
 	}
-	if q.Method == "" {
-		q.Method = "GET"
+	if query.Method == "" {
+		query.Method = "GET"
 	}
 	var err error
-	if q.Caller, err = netip.ParseAddrPort(get("caller")); err != nil {
-		fault(w, http.StatusBadRequest, "parameter caller must be IP:port")
+	if query.Caller, err = netip.ParseAddrPort(queryParam("caller")); err != nil {
+		writeError(w, http.StatusBadRequest, "parameter caller must be IP:port")
 		return
 	}
 	var explanation core.Explanation
-	if !d.ask(r.Context(), func() { explanation = d.core.Explain(q) }) {
-		fault(w, http.StatusServiceUnavailable, "the core did not respond in time")
+	if !d.runInCore(r.Context(), func() { explanation = d.core.Explain(query) }) {
+		writeError(w, http.StatusServiceUnavailable, "the core did not respond in time")
 		return
 	}
-	reply(w, explanation)
+	writeJSON(w, explanation)
 }
 
-func reply(w http.ResponseWriter, body any) {
+func writeJSON(w http.ResponseWriter, body any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(body) // the client has gone when this fails
+	_ = json.NewEncoder(w).Encode(body) // fails only when the client has disconnected
 }
 
-func fault(w http.ResponseWriter, status int, text string) {
+func writeError(w http.ResponseWriter, status int, message string) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(map[string]string{"error": text})
+	_ = json.NewEncoder(w).Encode(map[string]string{"error": message})
 }
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -22,13 +22,13 @@
 )
 
 // BenchmarkSocketPath sends requests through a service socket, its reader, the
-// caller ring, an encoder in place of the core, the write ring and the writer,
-// back to the sender, with at most 64 datagrams under way.
+// queue of caller packets, an encoder in place of the core, the write queue and
+// the writer, back to the sender, with at most 64 datagrams in flight.
 func BenchmarkSocketPath(b *testing.B) {
-	const window = 64
+	const maxInFlight = 64
 	in, service := ring.New[*packet](4096), ids.Service("counter")
-	at := netip.AddrPortFrom(loopback, freePort(b))
-	s, err := openSocket(at, &service, in, newWriter(4096), newSocketCounts(telemetry.NewRegistry(), "caller"))
+	address := netip.AddrPortFrom(loopback, freePort(b))
+	s, err := openSocket(address, &service, in, newWriter(4096), newSocketCounts(telemetry.NewRegistry(), "caller"))
 	assert.NilError(b, err)
 	defer s.close()
 	go func() {
@@ -41,18 +41,18 @@
 				out.peer = p.peer
 				p.release()
 				s.send(out)
-			case <-s.done:
+			case <-s.readerDone:
 				return
 			}
 		}
 	}()
-	c, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(at))
+	c, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(address))
 	assert.NilError(b, err)
 	defer func() { _ = c.Close() }()
 	request, err := message.Encode(nil, &message.Outgoing{Code: message.GET, ID: 1,
 		Token: message.Token{Bytes: [8]byte{1, 2, 3, 4}, Len: 4}, Payload: make([]byte, 64)})
 	assert.NilError(b, err)
-	slots, received := make(chan struct{}, window), make(chan struct{})
+	inFlight, received := make(chan struct{}, maxInFlight), make(chan struct{})
 	go func() {
 		defer close(received)
 		buf := make([]byte, 2048)
@@ -62,13 +62,13 @@
 				b.Errorf("datagram lost: %v", err)
 				return
 			}
-			<-slots
+			<-inFlight
 		}
 	}()
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
-		slots <- struct{}{}
+		inFlight <- struct{}{}
 		_, err := c.Write(request)
 		assert.NilError(b, err)
 	}
@@ -77,27 +77,27 @@
 }
 
 // BenchmarkInstance sends idempotent requests through one complete instance to
-// a backend server that responds at once, with at most 32 requests under way.
-// Callers, backend server and instance share this process, so that the CPU
-// time is that of all three.
+// a backend server that responds immediately, with at most 32 requests in
+// flight. Callers, backend server and instance share this process, so the
+// reported CPU time is the sum of all three.
 func BenchmarkInstance(b *testing.B) {
-	const window = 32
-	s := newSite(b, 64)
-	r := s.start(1)
-	at := netip.AddrPortFrom(r.ip, s.service.Port())
-	newCaller(b).get(at)
+	const maxInFlight = 32
+	s := newTestSite(b, 64)
+	r := s.startDaemon(1)
+	address := netip.AddrPortFrom(r.ip, s.serviceAddress.Port())
+	newTestCaller(b).getUntilSuccess(address)
 	b.ReportAllocs()
 	b.ResetTimer()
 	start := cpuTime(b)
-	var left atomic.Int64
-	left.Store(int64(b.N))
+	var remaining atomic.Int64
+	remaining.Store(int64(b.N))
 	var wg sync.WaitGroup
 	var failed atomic.Int64
-	for range window {
-		c := newCaller(b)
+	for range maxInFlight {
+		c := newTestCaller(b)
 		wg.Go(func() {
-			for left.Add(-1) >= 0 {
-				if m, ok := c.try(at, message.GET, nil, 2*time.Second); !ok || m.Code != message.Content {
+			for remaining.Add(-1) >= 0 {
+				if m, ok := c.request(address, message.GET, nil, 2*time.Second); !ok || m.Code != message.Content {
 					failed.Add(1)
 				}
 			}
@@ -105,7 +105,7 @@
 	}
 	wg.Wait()
 	b.StopTimer()
-	p := r.d.loop.published.Load()
+	p := r.daemon.loop.published.Load()
 	assert.Equal(b, failed.Load(), int64(0))
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "requests/s")
 	b.ReportMetric(float64((cpuTime(b)-start).Nanoseconds())/float64(b.N), "cpu-ns/request")
@@ -119,65 +119,65 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkControlTraffic starts five instances with the default budget and
-// reports the control bytes that one of them sends in a second and the share of
-// a core that it takes when nothing happens, and the most that any of them sent
-// while joining and in the 10 s after.
+// BenchmarkControlTraffic starts five instances with the default control budget.
+// It reports the mean control bytes per second and the CPU use of an idle
+// instance, and the most control bytes that any instance sent while joining and
+// in the following 10 s.
 func BenchmarkControlTraffic(b *testing.B) {
 	const instances, period = 5, 10 * time.Second
 	for range b.N {
-		s := newSite(b, 2)
-		first := s.start(1)
+		s := newTestSite(b, 2)
+		first := s.startDaemon(1)
 		for n := 2; n <= instances; n++ {
-			s.start(n, first.seed())
+			s.startDaemon(n, first.seed())
 		}
 		sent := func() (sum, most int64) {
 			for _, r := range s.daemons {
-				v := r.d.metrics.Counter("link_control_sent_bytes_total").Value()
+				v := r.daemon.metrics.Counter("link_control_sent_bytes_total").Value()
 				sum, most = sum+v, max(most, v)
 			}
 			return sum, most
 		}
 		for _, r := range s.daemons {
-			newCaller(b).get(netip.AddrPortFrom(r.ip, s.service.Port()))
+			newTestCaller(b).getUntilSuccess(netip.AddrPortFrom(r.ip, s.serviceAddress.Port()))
 		}
 		time.Sleep(period)
-		before, joined := sent()
+		bytesBefore, joinBytes := sent()
 		cpu := cpuTime(b)
 		time.Sleep(period)
 		after, _ := sent()
 		b.ReportMetric(float64((cpuTime(b)-cpu).Nanoseconds())/instances/float64(period.Nanoseconds())*100, "%core/instance")
-		b.ReportMetric(float64(after-before)/instances/period.Seconds(), "control-B/s/instance")
-		b.ReportMetric(float64(joined), "B-joining-and-10s")
+		b.ReportMetric(float64(after-bytesBefore)/instances/period.Seconds(), "control-B/s/instance")
+		b.ReportMetric(float64(joinBytes), "B-joining-and-10s")
 		dropped := int64(0)
 		for _, r := range s.daemons {
-			dropped += r.d.metrics.Counter("link_control_budget_dropped_total").Value()
+			dropped += r.daemon.metrics.Counter("link_control_budget_dropped_total").Value()
 		}
 		b.ReportMetric(float64(dropped), "heartbeats-over-budget")
 	}
 }
 
-// BenchmarkServiceSockets reports the heap and stack that one open service
-// socket takes while it is idle.
+// BenchmarkServiceSockets reports the heap and stack memory of one open, idle
+// service socket.
 func BenchmarkServiceSockets(b *testing.B) {
 	const sockets = 500
-	used := func() int64 {
+	memoryInUse := func() int64 {
 		runtime.GC()
-		runtime.GC() // the buffers that a pool keeps go with the second
+		runtime.GC() // a sync.Pool releases its buffers only in the second collection
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
 		return int64(m.HeapAlloc + m.StackInuse)
 	}
 	for range b.N {
-		l := newListeners(loopback, ring.New[*packet](8), 4096, slog.New(slog.DiscardHandler), telemetry.NewRegistry())
+		l := newServiceListeners(loopback, ring.New[*packet](8), 4096, slog.New(slog.DiscardHandler), telemetry.NewRegistry())
 		services := make([]config.Service, sockets)
 		for i := range services {
 			services[i] = config.Service{Name: ids.Service(fmt.Sprint("s", i)), Port: freePort(b)}
 		}
-		before := used()
+		before := memoryInUse()
 		l.apply(time.Now(), services)
 		time.Sleep(200 * time.Millisecond)
-		b.ReportMetric(float64(used()-before)/float64(len(l.open)), "B/socket")
+		b.ReportMetric(float64(memoryInUse()-before)/float64(len(l.byAddress)), "B/socket")
 		l.close()
 	}
 }
--- a/internal/daemon/buffers.go
+++ b/internal/daemon/buffers.go
@@ -8,27 +8,29 @@
 )
 
 // maxDatagram is the largest datagram that is accepted, in bytes. RFC 7252
-// section 4.6 asks senders to stay within 1,152 bytes; a Block-wise block is at
-// most 1,024. A socket that is in use holds one buffer of this size.
+// section 4.6 recommends messages of at most 1,152 bytes; the payload of one
+// block of a Block-wise transfer is at most 1,024 bytes. Each active socket
+// holds one buffer of this size.
 const maxDatagram = 2048
 
-// packet is one datagram on its way between a socket and the core.
+// packet is one datagram that is passed between a socket and the core.
 type packet struct {
-	service ids.Service  // service on which it arrived; empty from a backend server
+	service ids.Service  // service whose socket received it; empty if it came from a backend server
 	peer    ids.Endpoint // source or destination
 	data    []byte
-	message message.Message // decoded view of data, on the way in
+	message message.Message // decoded view of data; set on received packets only
 }
 
-var packets = sync.Pool{New: func() any { return &packet{data: make([]byte, 0, maxDatagram+1)} }}
+var packetPool = sync.Pool{New: func() any { return &packet{data: make([]byte, 0, maxDatagram+1)} }}
 
-func newPacket() *packet { return packets.Get().(*packet) }
+func newPacket() *packet { return packetPool.Get().(*packet) }
 
-// release returns p to the pool. Nothing may refer to its data any more.
+// release returns p to the pool. The caller must not use p or its data
+// afterwards.
 func (p *packet) release() {
 	if cap(p.data) != maxDatagram+1 {
-		return // does not keep the memory of a rare large response
+		return // do not keep the memory of a rare large response in the pool
 	}
 	*p = packet{data: p.data[:0]}
-	packets.Put(p)
+	packetPool.Put(p)
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,7 +1,7 @@
-// Package daemon runs one instance: it joins the decision logic of
-// internal/core to sockets, links, the platform and the admin interface. One
-// goroutine owns the core; every other goroutine has one task and exchanges
-// entries with it over bounded rings.
+// Package daemon runs one instance: it connects the decision logic of
+// internal/core to the sockets, the peer links, the platform and the admin
+// interface. One goroutine owns the core. Every other goroutine has a single
+// task and communicates with the core goroutine over bounded queues.
 package daemon
 
 import (
@@ -33,64 +33,66 @@
 )
 
 const (
-	logLines  = 4096 // log lines and trace exports that wait for a slow stream
-	spanQueue = 4096
-	// closeTimeout bounds the export of the last spans.
+	logQueueSize  = 4096 // log lines, or exported traces, that may wait for a slow output stream
+	spanQueueSize = 4096
+	// closeTimeout limits the time for exporting the remaining spans at shutdown.
 	closeTimeout = 2 * time.Second
 )
 
-// ErrKeyFiles is part of the error of New when a key or certificate file is at
-// fault.
-var ErrKeyFiles = errors.New("key files")
+// ErrKeyFiles is wrapped by the error of New when a key or certificate file is
+// missing or invalid.
+var ErrKeyFiles = errors.New("invalid key or certificate file")
 
-// Daemon is one instance.
+// Daemon runs one instance.
 type Daemon struct {
-	settings settings.Settings
-	self     core.Self
-	core     *core.Core
-	log      *slog.Logger
-	logs     *telemetry.Writer
-	traces   *telemetry.Writer // nil without an exporter
-	tracer   *telemetry.Tracer
-	metrics  *telemetry.Registry
-	reload   *reload.Watcher
-	clock    clock
+	settings    settings.Settings
+	self        core.Self
+	core        *core.Core
+	log         *slog.Logger
+	logWriter   *telemetry.Writer
+	traceWriter *telemetry.Writer // nil when no exporter is configured
+	tracer      *telemetry.Tracer
+	metrics     *telemetry.Registry
+	reloader    *reload.Watcher
+	clock       clock
 
-	links      *link.Manager
-	peers      net.Listener
-	admin      net.Listener
-	addresses  *addresses
-	listeners  *listeners
-	backend    *socket
-	toBackends *writer
-	checker    *checker
-	watcher    *watcher
+	links         *link.Manager
+	peerListener  net.Listener
+	adminListener net.Listener
+	addresses     *addressBook
+	listeners     *serviceListeners
+	backendSocket *socket
+	backendWriter *writer
+	checker       *healthChecker
+	watcher       *platformWatcher
 
-	callers  *ring.Ring[*packet]
-	backends *ring.Ring[*packet]
-	messages *ring.Ring[*peerwire.Message] // data lane
-	signals  *ring.Ring[*peerwire.Message] // control lane, which a flood of relays must not push out
-	control  *ring.Ring[event]
-	spans    *ring.Ring[telemetry.Hop]
-	queries  chan func()
-	stop     chan struct{}
-	stopOnce sync.Once
+	callerPackets   *ring.Ring[*packet]
+	backendPackets  *ring.Ring[*packet]
+	dataMessages    *ring.Ring[*peerwire.Message] // received on the data lane
+	controlMessages *ring.Ring[*peerwire.Message] // received on the control lane; a separate queue, so that many relays cannot displace them
+	controlEvents   *ring.Ring[controlEvent]
+	spans           *ring.Ring[telemetry.Hop]
+	coreCalls       chan func()
+	stop            chan struct{}
+	stopOnce        sync.Once
 
-	loop  loop
-	ctx   context.Context
-	abort context.CancelFunc
-	tasks sync.WaitGroup
+	loop   coreLoop
+	ctx    context.Context
+	cancel context.CancelFunc
+	tasks  sync.WaitGroup
 }
 
-// event is an entry of the control ring; exactly one field is set.
-type event struct {
+// controlEvent is an event for the core that does not arrive as a datagram or
+// peer message. Exactly one field is set.
+type controlEvent struct {
 	config    *core.ConfigEvent
 	instances *core.InstancesEvent
 	health    *core.HealthEvent
 }
 
-// New binds the fixed listeners and reads the key material. Log lines go to
-// stderr; traces go where the settings say.
+// New reads the key material and binds the peer and admin listeners and the
+// socket to backend servers. Log lines are written to stderr, and traces to the
+// stream that the settings select.
 func New(s settings.Settings, stdout, stderr io.Writer) (*Daemon, error) {
 	keyring, err := loadKeyring(s.Admission)
 	if err != nil {
@@ -100,17 +102,17 @@
 	if err != nil {
 		return nil, errors.Join(ErrKeyFiles, err)
 	}
-	seed, err := randomSeed(s.RandomSeed)
+	seed, err := chooseRandomSeed(s.RandomSeed)
 	if err != nil {
 		return nil, err
 	}
 	d := &Daemon{settings: s, clock: newClock(), metrics: telemetry.NewRegistry()}
-	d.ctx, d.abort = context.WithCancel(context.Background())
-	d.logs = telemetry.NewWriter(stderr, logLines)
+	d.ctx, d.cancel = context.WithCancel(context.Background())
+	d.logWriter = telemetry.NewWriter(stderr, logQueueSize)
 	level := new(slog.LevelVar)
 	level.Set(s.Log.Level)
-	d.log = telemetry.NewLogger(d.logs, level, s.Instance)
-	d.reload = reload.New(s, level, d.log)
+	d.log = telemetry.NewLogger(d.logWriter, level, s.Instance)
+	d.reloader = reload.New(s, level, d.log)
 	d.self = core.Self{
 		ID:          s.Instance,
 		Incarnation: ids.Incarnation(d.clock.now()),
@@ -118,7 +120,7 @@
 		Linger:      s.Linger,
 		Admissions:  admission.Limits{Entries: s.Admission.MaxEntries, Bytes: s.Admission.MaxBytes},
 	}
-	if err := d.openTrace(stdout, stderr); err != nil {
+	if err := d.openTracer(stdout, stderr); err != nil {
 		return nil, err
 	}
 	if err := d.bind(); err != nil {
@@ -126,157 +128,160 @@
 		return nil, err
 	}
 	d.core = core.New(d.self, keyring, seed)
-	d.join(credentials)
+	d.createComponents(credentials)
 	return d, nil
 }
 
 func loadKeyring(a settings.Admission) (*admission.Keyring, error) {
-	material := make(map[uint8][]byte, len(a.Keys))
+	keysByID := make(map[uint8][]byte, len(a.Keys))
 	for _, k := range a.Keys {
 		key, err := keys.LoadAdmissionKey(k.File)
 		if err != nil {
 			return nil, err
 		}
-		material[k.ID] = key
+		keysByID[k.ID] = key
 	}
-	return admission.NewKeyring(a.Sign, material)
+	return admission.NewKeyring(a.Sign, keysByID)
 }
 
-func randomSeed(fixed *uint64) (uint64, error) {
-	if fixed != nil {
-		return *fixed, nil
+func chooseRandomSeed(configured *uint64) (uint64, error) {
+	if configured != nil {
+		return *configured, nil
 	}
-	var b [8]byte
-	if _, err := rand.Read(b[:]); err != nil {
-		return 0, eris.Wrap(err, "draw random seed")
+	var random [8]byte
+	if _, err := rand.Read(random[:]); err != nil {
+		return 0, eris.Wrap(err, "generate random seed")
 	}
-	return binary.BigEndian.Uint64(b[:]), nil
+	return binary.BigEndian.Uint64(random[:]), nil
 }
 
-func (d *Daemon) openTrace(stdout, stderr io.Writer) error {
-	var to io.Writer
+func (d *Daemon) openTracer(stdout, stderr io.Writer) error {
+	var output io.Writer
 	if target := map[string]io.Writer{"stdout": stdout, "stderr": stderr}[d.settings.Trace.Exporter]; target != nil {
-		d.traces = telemetry.NewWriter(target, logLines)
-		to = d.traces
+		d.traceWriter = telemetry.NewWriter(target, logQueueSize)
+		output = d.traceWriter
 	}
-	tracer, err := telemetry.NewTracer(to, d.settings.Trace.Sample, d.self.ID)
+	tracer, err := telemetry.NewTracer(output, d.settings.Trace.Sample, d.self.ID)
 	d.tracer = tracer
 	return err
 }
 
-// bind opens the listeners that exist from start to end.
+// bind opens the sockets that stay open for the lifetime of the process, and
+// creates the queues.
 func (d *Daemon) bind() error {
 	s := &d.settings
 	var err error
-	if d.peers, err = net.Listen("tcp", s.PeerListen.String()); err != nil {
-		return eris.Wrap(err, "open link listener")
+	if d.peerListener, err = net.Listen("tcp", s.PeerListen.String()); err != nil {
+		return eris.Wrap(err, "open peer link listener")
 	}
-	if d.admin, err = net.Listen("tcp", s.AdminListen.String()); err != nil {
+	if d.adminListener, err = net.Listen("tcp", s.AdminListen.String()); err != nil {
 		return eris.Wrap(err, "open admin listener")
 	}
 	d.self.PeerAddr = s.PeerAdvertise.String()
-	if s.PeerAdvertise.Port() == 0 { // tests let the system choose the port
-		port := d.peers.Addr().(*net.TCPAddr).AddrPort().Port()
-		d.self.PeerAddr = net.JoinHostPort(s.PeerAdvertise.Addr().String(), portText(port))
+	if s.PeerAdvertise.Port() == 0 { // tests let the system assign the port
+		port := d.peerListener.Addr().(*net.TCPAddr).AddrPort().Port()
+		d.self.PeerAddr = net.JoinHostPort(s.PeerAdvertise.Addr().String(), formatPort(port))
 	}
 	for _, seed := range s.Seeds {
 		d.self.Seeds = append(d.self.Seeds, member.Seed{ID: seed.ID, DataCentre: seed.DataCentre, PeerAddr: seed.Address.String()})
 	}
-	r := s.Rings
-	d.callers = ring.New[*packet](r.Caller)
-	d.backends = ring.New[*packet](r.Backend)
-	d.messages = ring.New[*peerwire.Message](r.Peer)
-	d.signals = ring.New[*peerwire.Message](r.Control)
-	d.control = ring.New[event](r.Control)
-	d.spans = ring.New[telemetry.Hop](spanQueue)
-	d.queries = make(chan func())
+	capacities := s.Rings
+	d.callerPackets = ring.New[*packet](capacities.Caller)
+	d.backendPackets = ring.New[*packet](capacities.Backend)
+	d.dataMessages = ring.New[*peerwire.Message](capacities.Peer)
+	d.controlMessages = ring.New[*peerwire.Message](capacities.Control)
+	d.controlEvents = ring.New[controlEvent](capacities.Control)
+	d.spans = ring.New[telemetry.Hop](spanQueueSize)
+	d.coreCalls = make(chan func())
 	d.stop = make(chan struct{})
-	d.toBackends = newWriter(r.Write)
-	d.backend, err = openSocket(backendAddress(s.BackendIP), nil, d.backends, d.toBackends, newSocketCounts(d.metrics, "backend"))
+	d.backendWriter = newWriter(capacities.Write)
+	d.backendSocket, err = openSocket(backendBindAddress(s.BackendIP), nil, d.backendPackets, d.backendWriter, newSocketCounts(d.metrics, "backend"))
 	return err
 }
 
-// join creates what exchanges entries with the core goroutine.
-func (d *Daemon) join(credentials link.Credentials) {
+// createComponents creates the components that exchange events with the core
+// goroutine, and registers the metrics of the queues.
+func (d *Daemon) createComponents(credentials link.Credentials) {
 	s := &d.settings
-	d.addresses = newAddresses(s.Seeds)
+	d.addresses = newAddressBook(s.Seeds)
 	d.links = link.New(link.Config{
 		Self: s.Instance, LocalAddr: s.PeerListen.Addr(), Credentials: credentials, ControlBytesPerSecond: s.Link.ControlBudget, StartupBytes: s.Link.StartBytes, QueueCapacity: s.Link.Queue,
 		DataIdle: s.Link.DataIdle, Log: d.log, Metrics: d.metrics,
 		LookupAddress: d.addresses.lookup,
 		Receive: func(m *peerwire.Message) {
 			if m.Lane() == peerwire.Data {
-				d.messages.Push(m)
+				d.dataMessages.Push(m)
 				return
 			}
-			d.addresses.learn(m)
-			d.signals.Push(m)
+			d.addresses.updateFromMessage(m)
+			d.controlMessages.Push(m)
 		},
 	})
-	d.listeners = newListeners(s.ServiceIP, d.callers, s.Rings.Write, d.log, d.metrics)
-	d.checker = newChecker(d.ctx, s.HealthWorkers, s.HealthTimeout, func(h core.HealthEvent) {
-		d.emit(event{health: &h})
+	d.listeners = newServiceListeners(s.ServiceIP, d.callerPackets, s.Rings.Write, d.log, d.metrics)
+	d.checker = newHealthChecker(d.ctx, s.HealthWorkers, s.HealthTimeout, func(h core.HealthEvent) {
+		d.pushControlEvent(controlEvent{health: &h})
 	})
-	d.watcher = &watcher{
-		client:   documents.New(s.PlatformURL, nil),
-		requests: ring.New[watchRequest](4),
-		emit:     d.emit,
-		log:      d.log,
+	d.watcher = &platformWatcher{
+		client:    documents.New(s.PlatformURL, nil),
+		requests:  ring.New[readRequest](4),
+		pushEvent: d.pushControlEvent,
+		log:       d.log,
 	}
 	d.loop.init(d)
 	for name, stats := range map[string]func() ring.Stats{
-		"caller": d.callers.Stats, "backend": d.backends.Stats, "peer": d.messages.Stats, "signal": d.signals.Stats, "control": d.control.Stats,
-		"span": d.spans.Stats, "log": d.logs.Stats, "write_backend": d.toBackends.ring.Stats,
+		"caller": d.callerPackets.Stats, "backend": d.backendPackets.Stats, "peer": d.dataMessages.Stats, "signal": d.controlMessages.Stats, "control": d.controlEvents.Stats,
+		"span": d.spans.Stats, "log": d.logWriter.Stats, "write_backend": d.backendWriter.ring.Stats,
 	} {
 		d.metrics.Ring(name, stats)
 	}
 }
 
-// emit passes a control event to the core. It waits for room: these events are
-// few, and losing the result of a read would delay the next one.
-func (d *Daemon) emit(e event) {
-	for !d.control.Push(e) {
+// pushControlEvent queues a control event for the core. It waits while the
+// queue is full: these events are few, and losing the result of a platform read
+// would delay the next read.
+func (d *Daemon) pushControlEvent(event controlEvent) {
+	for !d.controlEvents.Push(event) {
 		select {
 		case <-d.ctx.Done():
 			return
-		case <-time.After(tickEvery):
+		case <-time.After(tickInterval):
 		}
 	}
 }
 
-// Stop starts the graceful shutdown. Run returns when it is complete.
+// Stop starts the graceful shutdown. Run returns when the shutdown is complete.
 func (d *Daemon) Stop() { d.stopOnce.Do(func() { close(d.stop) }) }
 
-// Reload asks for the settings file to be read again. It does not wait.
-func (d *Daemon) Reload() { d.reload.Reload() }
+// Reload requests that the settings file be read again. It returns at once.
+func (d *Daemon) Reload() { d.reloader.Reload() }
 
-// Run serves until the graceful shutdown is complete (nil), ctx ends (its
-// error), a fixed listener fails, or a later process with the same instance id
-// takes over.
+// Run serves until the graceful shutdown is complete, and then returns nil. It
+// returns an error when ctx ends, the peer or admin listener fails, or a later
+// process with the same instance ID takes over.
 func (d *Daemon) Run(ctx context.Context) error {
 	d.log.Info("started", "incarnation", d.self.Incarnation, "data_centre", d.self.DataCentre,
-		"peer", d.self.PeerAddr, "admin", d.admin.Addr())
-	failed := make(chan error, 2)
+		"peer", d.self.PeerAddr, "admin", d.adminListener.Addr())
+	serveErrors := make(chan error, 2)
 	server := &http.Server{Handler: d.adminHandler(), ReadHeaderTimeout: adminTimeout, IdleTimeout: time.Minute}
-	go func() { failed <- d.links.Serve(d.peers) }()
-	go func() { failed <- server.Serve(d.admin) }()
-	d.tasks.Go(func() { d.watcher.documents(d.ctx) })
-	d.tasks.Go(func() { d.watcher.instances(d.ctx) })
+	go func() { serveErrors <- d.links.Serve(d.peerListener) }()
+	go func() { serveErrors <- server.Serve(d.adminListener) }()
+	d.tasks.Go(func() { d.watcher.watchDocuments(d.ctx) })
+	d.tasks.Go(func() { d.watcher.pollInstances(d.ctx) })
 	d.tasks.Go(d.recordSpans)
-	d.tasks.Go(func() { d.reload.Run(d.ctx) })
-	done := make(chan struct{})
-	d.tasks.Go(func() { defer close(done); d.loop.run(d.ctx) })
+	d.tasks.Go(func() { d.reloader.Run(d.ctx) })
+	loopDone := make(chan struct{})
+	d.tasks.Go(func() { defer close(loopDone); d.loop.run(d.ctx) })
 
 	var err error
 	select {
-	case <-done:
+	case <-loopDone:
 		if !d.loop.stopping {
-			err = eris.New("the instance was superseded by a later process with its id")
+			err = eris.New("instance superseded by a later process with the same instance ID")
 		}
 	case <-ctx.Done():
 		err = ctx.Err()
-	case err = <-failed:
-		err = eris.Wrap(err, "serve")
+	case err = <-serveErrors:
+		err = eris.Wrap(err, "serve peer links or admin requests")
 	}
 	if err != nil {
 		d.log.Error("terminating", "error", err)
@@ -288,36 +293,36 @@
 	return err
 }
 
-// close ends every goroutine and releases every socket.
+// close stops all goroutines and closes all sockets.
 func (d *Daemon) close() {
-	d.abort()
+	d.cancel()
 	d.tasks.Wait()
 	if d.links != nil {
 		d.links.Close()
 		d.checker.pool.StopAndWait()
 		d.listeners.close()
 	}
-	for _, l := range []net.Listener{d.peers, d.admin} {
+	for _, l := range []net.Listener{d.peerListener, d.adminListener} {
 		if l != nil {
 			_ = l.Close()
 		}
 	}
-	if d.backend != nil {
-		d.toBackends.close()
-		d.backend.close()
+	if d.backendSocket != nil {
+		d.backendWriter.close()
+		d.backendSocket.close()
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	if err := d.tracer.Close(ctx); err != nil {
 		d.log.Warn("trace-export-failed", "error", err)
 	}
-	if d.traces != nil {
-		d.traces.Close()
+	if d.traceWriter != nil {
+		d.traceWriter.Close()
 	}
-	d.logs.Close()
+	d.logWriter.Close()
 }
 
-// recordSpans exports the spans of the core.
+// recordSpans passes the spans that the core produces to the tracer.
 func (d *Daemon) recordSpans() {
 	for {
 		select {
@@ -326,8 +331,8 @@
 				d.tracer.Record(<-d.spans.Out())
 			}
 			return
-		case h := <-d.spans.Out():
-			d.tracer.Record(h)
+		case span := <-d.spans.Out():
+			d.tracer.Record(span)
 		}
 	}
 }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -44,29 +44,30 @@
 retry_after_max_ms = 8000
 `
 
-// site is a platform, one backend server and a few daemons on loopback.
-type site struct {
-	t        testing.TB
-	dir      string
-	ca       *keys.CA
-	platform *httptest.Server
-	service  netip.AddrPort // port of the service; each daemon has its own IP
-	executed atomic.Int64   // requests that the backend server ran
-	daemons  []*running
+// testSite consists of a platform, one backend server and several daemons on
+// loopback.
+type testSite struct {
+	t              testing.TB
+	dir            string
+	ca             *keys.CA
+	platform       *httptest.Server
+	serviceAddress netip.AddrPort // only the port is used; each daemon has its own IP
+	executed       atomic.Int64   // number of requests that the backend server has executed
+	daemons        []*runningDaemon
 
-	mu     sync.Mutex
-	listed []map[string]any
+	mu              sync.Mutex
+	listedInstances []map[string]any
 }
 
-type running struct {
-	d    *Daemon
-	ip   netip.Addr
-	done chan error
-	log  *syncbuf.Buffer
+type runningDaemon struct {
+	daemon    *Daemon
+	ip        netip.Addr
+	runResult chan error
+	log       *syncbuf.Buffer
 }
 
-func newSite(t testing.TB, slots int) *site {
-	s := &site{t: t, dir: t.TempDir(), service: netip.AddrPortFrom(loopback, freePort(t))}
+func newTestSite(t testing.TB, slots int) *testSite {
+	s := &testSite{t: t, dir: t.TempDir(), serviceAddress: netip.AddrPortFrom(loopback, freePort(t))}
 	var err error
 	s.ca, err = keys.CreateCA(s.dir, "fleet", time.Hour)
 	assert.NilError(t, err)
@@ -77,17 +78,17 @@
 	}))
 	t.Cleanup(health.Close)
 	service := fmt.Sprintf("port = %d\nprofile = \"p\"\n[[target]]\nname = \"t1\"\ndata_centre = \"a\"\naddress = %q\nhealth = %q\nslots = %d\n",
-		s.service.Port(), backend, health.URL, slots)
+		s.serviceAddress.Port(), backend, health.URL, slots)
 	s.platform = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { s.servePlatform(w, r, service) }))
 	t.Cleanup(s.platform.Close)
 	return s
 }
 
-func (s *site) servePlatform(w http.ResponseWriter, r *http.Request, service string) {
+func (s *testSite) servePlatform(w http.ResponseWriter, r *http.Request, service string) {
 	if r.URL.Path == "/v1/instances" {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		_ = json.NewEncoder(w).Encode(map[string]any{"instances": s.listed})
+		_ = json.NewEncoder(w).Encode(map[string]any{"instances": s.listedInstances})
 		return
 	}
 	documents := []any{}
@@ -95,7 +96,7 @@
 		documents = append(documents, map[string]any{"key": "profile/p", "revision": 1, "value": profileText},
 			map[string]any{"key": "service/counter", "revision": 2, "value": service})
 	} else if r.URL.Query().Get("wait") != "" {
-		select { // nothing is ever published
+		select { // a long poll that never returns new documents
 		case <-r.Context().Done():
 		case <-time.After(time.Second):
 		}
@@ -103,8 +104,9 @@
 	_ = json.NewEncoder(w).Encode(map[string]any{"upto": 2, "documents": documents})
 }
 
-// startBackend runs a CoAP server that echoes the token with 2.05.
-func (s *site) startBackend() string {
+// startBackend starts a CoAP server that responds 2.05 to each request, and
+// returns its address.
+func (s *testSite) startBackend() string {
 	c, err := net.ListenUDP("udp", &net.UDPAddr{IP: loopback.AsSlice()})
 	assert.NilError(s.t, err)
 	s.t.Cleanup(func() { _ = c.Close() })
@@ -120,19 +122,20 @@
 				continue
 			}
 			s.executed.Add(1)
-			kind := message.Acknowledgement
+			responseType := message.Acknowledgement
 			if m.Type == message.NonConfirmable {
-				kind = message.NonConfirmable
+				responseType = message.NonConfirmable
 			}
-			out, _ := message.Encode(nil, &message.Outgoing{Type: kind, Code: message.Content, ID: m.ID, Token: m.Token, Payload: []byte("done")})
+			out, _ := message.Encode(nil, &message.Outgoing{Type: responseType, Code: message.Content, ID: m.ID, Token: m.Token, Payload: []byte("done")})
 			_, _ = c.WriteToUDPAddrPort(out, from)
 		}
 	}()
 	return c.LocalAddr().String()
 }
 
-// start runs a daemon whose services are at 127.0.0.<10+n>.
-func (s *site) start(n int, seeds ...settings.Seed) *running {
+// startDaemon starts a daemon with the instance ID a<n> and the service IP
+// 127.0.0.<10+n>.
+func (s *testSite) startDaemon(n int, seeds ...settings.Seed) *runningDaemon {
 	id := ids.Instance(fmt.Sprint("a", n))
 	assert.NilError(s.t, s.ca.Issue(s.dir, id, time.Hour))
 	ip := netip.AddrFrom4([4]byte{127, 0, 0, byte(10 + n)})
@@ -150,17 +153,17 @@
 	for _, file := range []*string{&config.TLS.CA, &config.TLS.Certificate, &config.TLS.Key, &config.Admission.Keys[0].File} {
 		*file = filepath.Join(s.dir, *file)
 	}
-	r := &running{ip: ip, done: make(chan error, 1), log: new(syncbuf.Buffer)}
-	r.d, err = New(config, io.Discard, r.log)
+	r := &runningDaemon{ip: ip, runResult: make(chan error, 1), log: new(syncbuf.Buffer)}
+	r.daemon, err = New(config, io.Discard, r.log)
 	assert.NilError(s.t, err)
 	s.mu.Lock()
-	s.listed = append(s.listed, map[string]any{"id": id, "data_centre": "a", "peer_addr": r.d.self.PeerAddr, "caller_ip": ip, "leaving": false})
+	s.listedInstances = append(s.listedInstances, map[string]any{"id": id, "data_centre": "a", "peer_addr": r.daemon.self.PeerAddr, "caller_ip": ip, "leaving": false})
 	s.mu.Unlock()
 	ctx, cancel := context.WithCancel(context.Background())
-	go func() { r.done <- r.d.Run(ctx) }()
+	go func() { r.runResult <- r.daemon.Run(ctx) }()
 	s.t.Cleanup(func() {
 		cancel()
-		<-r.done
+		<-r.runResult
 		if s.t.Failed() {
 			s.t.Log(r.log.String())
 		}
@@ -169,30 +172,30 @@
 	return r
 }
 
-func (r *running) seed() settings.Seed {
-	return settings.Seed{ID: r.d.self.ID, DataCentre: "a", Address: netip.MustParseAddrPort(r.d.self.PeerAddr)}
+func (r *runningDaemon) seed() settings.Seed {
+	return settings.Seed{ID: r.daemon.self.ID, DataCentre: "a", Address: netip.MustParseAddrPort(r.daemon.self.PeerAddr)}
 }
 
-// caller is one CoAP client.
-type caller struct {
-	t    testing.TB
-	conn *net.UDPConn
-	id   uint16
+// testCaller is a CoAP client.
+type testCaller struct {
+	t             testing.TB
+	conn          *net.UDPConn
+	lastMessageID uint16
 }
 
-func newCaller(t testing.TB) *caller {
+func newTestCaller(t testing.TB) *testCaller {
 	c, err := net.ListenUDP("udp", &net.UDPAddr{IP: loopback.AsSlice()})
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = c.Close() })
-	return &caller{t: t, conn: c}
+	return &testCaller{t: t, conn: c}
 }
 
-// try sends a request to one address and returns the final response, false
-// when there is none within wait.
-func (c *caller) try(to netip.AddrPort, code message.Code, echo []byte, wait time.Duration) (message.Message, bool) {
-	c.id++
-	token := message.Token{Bytes: [8]byte{byte(c.id >> 8), byte(c.id)}, Len: 2}
-	out, err := message.Encode(nil, &message.Outgoing{Type: message.Confirmable, Code: code, ID: c.id, Token: token, Echo: echo, Payload: []byte("lot 7")})
+// request sends a request to one address and returns the final response. It
+// returns false when there is none within wait.
+func (c *testCaller) request(to netip.AddrPort, code message.Code, echo []byte, wait time.Duration) (message.Message, bool) {
+	c.lastMessageID++
+	token := message.Token{Bytes: [8]byte{byte(c.lastMessageID >> 8), byte(c.lastMessageID)}, Len: 2}
+	out, err := message.Encode(nil, &message.Outgoing{Type: message.Confirmable, Code: code, ID: c.lastMessageID, Token: token, Echo: echo, Payload: []byte("lot 7")})
 	assert.NilError(c.t, err)
 	_, err = c.conn.WriteToUDPAddrPort(out, to)
 	assert.NilError(c.t, err)
@@ -211,11 +214,11 @@
 	}
 }
 
-// get repeats a GET until it succeeds.
-func (c *caller) get(to netip.AddrPort) message.Message {
+// getUntilSuccess repeats a GET until it succeeds, for at most 20 s.
+func (c *testCaller) getUntilSuccess(to netip.AddrPort) message.Message {
 	c.t.Helper()
 	for deadline := time.Now().Add(20 * time.Second); time.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
-		if m, ok := c.try(to, message.GET, nil, 200*time.Millisecond); ok && m.Code == message.Content {
+		if m, ok := c.request(to, message.GET, nil, 200*time.Millisecond); ok && m.Code == message.Content {
 			return m
 		}
 	}
@@ -223,71 +226,72 @@
 	return message.Message{}
 }
 
-// Guards against an instance that does not serve after its start, a claim
-// without a token that is executed, a claim that is executed twice, and a
-// graceful shutdown that does not end.
+// Guards against an instance that does not serve requests after its start, a
+// non-idempotent request that is executed without an admission token or twice
+// with the same one, and a graceful shutdown that does not complete.
 func TestServesEndToEnd(t *testing.T) {
-	s := newSite(t, 2)
-	r := s.start(1)
-	at := netip.AddrPortFrom(r.ip, s.service.Port())
-	c := newCaller(t)
-	c.get(at)
+	s := newTestSite(t, 2)
+	r := s.startDaemon(1)
+	address := netip.AddrPortFrom(r.ip, s.serviceAddress.Port())
+	c := newTestCaller(t)
+	c.getUntilSuccess(address)
 	before := s.executed.Load()
-	granted, ok := c.try(at, message.POST, nil, time.Second)
-	assert.Assert(t, ok && granted.Code == message.Unauthorized && len(granted.Echo) == 40, "%v %v", ok, granted.Code)
+	challenge, ok := c.request(address, message.POST, nil, time.Second)
+	assert.Assert(t, ok && challenge.Code == message.Unauthorized && len(challenge.Echo) == 40, "%v %v", ok, challenge.Code)
 	assert.Equal(t, s.executed.Load(), before)
 	for range 2 {
-		done, ok := c.try(at, message.POST, granted.Echo, time.Second)
-		assert.Assert(t, ok && done.Code == message.Content, "%v %v", ok, done.Code)
+		response, ok := c.request(address, message.POST, challenge.Echo, time.Second)
+		assert.Assert(t, ok && response.Code == message.Content, "%v %v", ok, response.Code)
 	}
 	assert.Equal(t, s.executed.Load(), before+1)
-	r.d.Stop()
+	r.daemon.Stop()
 	select {
-	case err := <-r.done:
+	case err := <-r.runResult:
 		assert.NilError(t, err)
-		r.done <- nil
+		r.runResult <- nil
 	case <-time.After(10 * time.Second):
 		t.Fatal("graceful shutdown takes more than 10 s")
 	}
 }
 
-// Guards against instances that do not find each other: a token issued by one
-// is honoured when the retry arrives at another, which relays it, and requests
-// survive the planned stop of the instance that issued it.
+// Guards against two instances that do not discover each other. An admission
+// token issued by one is accepted when the retry arrives at the other, which
+// relays it. Requests are still served after the planned stop of the issuer.
 func TestTwoInstances(t *testing.T) {
-	s := newSite(t, 2)
-	one := s.start(1)
-	two := s.start(2, one.seed())
-	at1, at2 := netip.AddrPortFrom(one.ip, s.service.Port()), netip.AddrPortFrom(two.ip, s.service.Port())
-	c := newCaller(t)
-	c.get(at1)
-	c.get(at2)
-	claim := func(first, second netip.AddrPort) message.Code {
-		granted, ok := c.try(first, message.POST, nil, time.Second)
-		assert.Assert(t, ok && granted.Code == message.Unauthorized, "%v %v", ok, granted.Code)
-		done, ok := c.try(second, message.POST, granted.Echo, time.Second)
+	s := newTestSite(t, 2)
+	first := s.startDaemon(1)
+	second := s.startDaemon(2, first.seed())
+	firstAddress, secondAddress := netip.AddrPortFrom(first.ip, s.serviceAddress.Port()), netip.AddrPortFrom(second.ip, s.serviceAddress.Port())
+	c := newTestCaller(t)
+	c.getUntilSuccess(firstAddress)
+	c.getUntilSuccess(secondAddress)
+	requestWithToken := func(issuer, retryAddress netip.AddrPort) message.Code {
+		challenge, ok := c.request(issuer, message.POST, nil, time.Second)
+		assert.Assert(t, ok && challenge.Code == message.Unauthorized, "%v %v", ok, challenge.Code)
+		response, ok := c.request(retryAddress, message.POST, challenge.Echo, time.Second)
 		assert.Assert(t, ok)
-		return done.Code
+		return response.Code
 	}
-	assert.Equal(t, claim(at1, at2), message.Content)
-	assert.Equal(t, claim(at2, at1), message.Content)
-	granted, ok := c.try(at1, message.POST, nil, time.Second)
+	assert.Equal(t, requestWithToken(firstAddress, secondAddress), message.Content)
+	assert.Equal(t, requestWithToken(secondAddress, firstAddress), message.Content)
+	challenge, ok := c.request(firstAddress, message.POST, nil, time.Second)
 	assert.Assert(t, ok)
-	one.d.Stop()
-	assert.NilError(t, <-one.done)
-	one.done <- nil
-	done, ok := c.try(at2, message.POST, granted.Echo, time.Second)
-	assert.Assert(t, ok && done.Code == message.Content || done.Code == message.Unauthorized, "%v", done.Code)
-	c.get(at2)
+	first.daemon.Stop()
+	assert.NilError(t, <-first.runResult)
+	first.runResult <- nil
+	response, ok := c.request(secondAddress, message.POST, challenge.Echo, time.Second)
+	assert.Assert(t, ok && response.Code == message.Content || response.Code == message.Unauthorized, "%v", response.Code)
+	c.getUntilSuccess(secondAddress)
 }
 
-// Guards against an admin interface that is incomplete or crashes on input.
-func TestAdmin(t *testing.T) {
-	s := newSite(t, 2)
-	r := s.start(1)
-	newCaller(t).get(netip.AddrPortFrom(r.ip, s.service.Port()))
+// Guards against missing admin endpoints and against invalid parameters that
+// cause a crash.
+func TestAdminEndpoints(t *testing.T) {
+	s := newTestSite(t, 2)
+	r := s.startDaemon(1)
+	newTestCaller(t).getUntilSuccess(netip.AddrPortFrom(r.ip, s.serviceAddress.Port()))
 	fetch := func(path string) (int, string) {
-		response, err := http.Get("http://" + r.d.admin.Addr().String() + path)
+		response, err := http.Get("http://" + r.daemon.adminListener.Addr().String() + path)
 		assert.NilError(t, err)
 		defer func() { _ = response.Body.Close() }()
 		body, err := io.ReadAll(response.Body)
@@ -310,41 +314,41 @@
 	}
 }
 
-// Guards against input from outside that ends the process: random and
-// malformed bytes at every address while it serves.
+// Guards against network input that crashes the process: sends random and
+// malformed bytes to every address of a serving instance.
 func TestMalformedInput(t *testing.T) {
-	s := newSite(t, 2)
-	r := s.start(1)
-	at := netip.AddrPortFrom(r.ip, s.service.Port())
-	c := newCaller(t)
-	c.get(at)
-	random := rand.New(rand.NewPCG(1, 2))
-	backend := netip.AddrPortFrom(r.ip, r.d.backend.conn.LocalAddr().(*net.UDPAddr).AddrPort().Port())
+	s := newTestSite(t, 2)
+	r := s.startDaemon(1)
+	address := netip.AddrPortFrom(r.ip, s.serviceAddress.Port())
+	c := newTestCaller(t)
+	c.getUntilSuccess(address)
+	rng := rand.New(rand.NewPCG(1, 2))
+	backend := netip.AddrPortFrom(r.ip, r.daemon.backendSocket.conn.LocalAddr().(*net.UDPAddr).AddrPort().Port())
 	for range 2000 {
-		data := make([]byte, random.IntN(80))
+		data := make([]byte, rng.IntN(80))
 		for i := range data {
-			data[i] = byte(random.Uint32())
+			data[i] = byte(rng.Uint32())
 		}
-		if len(data) > 0 && random.IntN(4) > 0 {
-			data[0] = 0x40 | data[0]&0x38 // version 1, so that more gets past the header
+		if len(data) > 0 && rng.IntN(4) > 0 {
+			data[0] = 0x40 | data[0]&0x38 // version 1, so that more datagrams pass the check of the header
 		}
-		for _, to := range []netip.AddrPort{at, backend} {
+		for _, to := range []netip.AddrPort{address, backend} {
 			_, err := c.conn.WriteToUDPAddrPort(data, to)
 			assert.NilError(t, err)
 		}
 	}
-	for _, address := range []string{r.d.self.PeerAddr, r.d.admin.Addr().String()} {
+	for _, address := range []string{r.daemon.self.PeerAddr, r.daemon.adminListener.Addr().String()} {
 		conn, err := net.Dial("tcp", address)
 		assert.NilError(t, err)
 		_, _ = conn.Write(bytes.Repeat([]byte{0x16, 3, 1, 0xff}, 4096))
 		_ = conn.Close()
 	}
-	c.get(at)
-	assert.Equal(t, r.d.loop.panics.Value(), int64(0))
-	for range 3 { // a fault in the core costs one event
-		assert.Assert(t, r.d.ask(t.Context(), func() { panic("test") }))
+	c.getUntilSuccess(address)
+	assert.Equal(t, r.daemon.loop.panics.Value(), int64(0))
+	for range 3 { // a panic in the core affects one event only
+		assert.Assert(t, r.daemon.runInCore(t.Context(), func() { panic("test") }))
 	}
-	c.get(at)
+	c.getUntilSuccess(address)
 	poll.WaitOn(t, func(poll.LogT) poll.Result { // log lines are written by another goroutine
 		if strings.Contains(r.log.String(), "msg=core-panic") {
 			return poll.Success()
@@ -352,6 +356,6 @@
 		return poll.Continue("no line")
 	})
 	assert.Equal(t, strings.Count(r.log.String(), "msg=core-panic"), 1)
-	assert.Assert(t, r.d.metrics.Counter("caller_malformed_dropped_total").Value() > 100)
-	assert.Assert(t, r.d.metrics.Counter("backend_malformed_dropped_total").Value() > 100)
+	assert.Assert(t, r.daemon.metrics.Counter("caller_malformed_dropped_total").Value() > 100)
+	assert.Assert(t, r.daemon.metrics.Counter("backend_malformed_dropped_total").Value() > 100)
 }
--- a/internal/daemon/effects.go
+++ b/internal/daemon/effects.go
@@ -9,69 +9,69 @@
 	"arbutusdock.example/arbutusdock/internal/telemetry"
 )
 
-var hopNames = [...]string{
+var spanNames = [...]string{
 	core.Received: "received", core.Relayed: "relayed", core.Admitted: "admitted",
 	core.Dispatched: "dispatched", core.Answered: "answered",
 }
 
-// carryOut does what one effect asks for. It runs before the next call of the
-// core, after which the memory of the effect may be reused.
-func (l *loop) carryOut(e *core.Effect) {
+// applyEffect performs one effect that the core returned. It must run before the
+// next call of the core, which may reuse the memory of the effect.
+func (l *coreLoop) applyEffect(effect *core.Effect) {
 	d := l.d
-	switch e.Kind {
+	switch effect.Kind {
 	case core.ToCaller:
-		if p := l.encode(e); p != nil && !d.listeners.send(p) {
+		if p := l.encodeDatagram(effect); p != nil && !d.listeners.send(p) {
 			l.unroutable.Add(1)
 			p.release()
 		}
 	case core.ToBackend:
-		if p := l.encode(e); p != nil {
-			d.backend.send(p)
+		if p := l.encodeDatagram(effect); p != nil {
+			d.backendSocket.send(p)
 		}
 	case core.ToPeer:
-		d.links.Send(e.Instance, e.PeerMessage) // counts what it refuses
+		d.links.Send(effect.Instance, effect.PeerMessage) // Send counts the messages that it drops
 	case core.CheckHealth:
-		if !d.checker.check(e.Service, e.Target, e.URL) {
+		if !d.checker.check(effect.Service, effect.Target, effect.URL) {
 			l.checksDropped.Add(1)
 		}
 	case core.WatchConfig:
-		d.watcher.requests.Push(watchRequest{after: e.Revision, watch: e.Watch})
+		d.watcher.requests.Push(readRequest{after: effect.Revision, watch: effect.Watch})
 	case core.Span:
-		l.span(e)
+		l.recordSpan(effect)
 	case core.Log:
-		d.log.Log(d.ctx, logLevel(e.Event), e.Event, telemetry.Details(e.Detail)...)
+		d.log.Log(d.ctx, logLevel(effect.Event), effect.Event, telemetry.Details(effect.Detail)...)
 	case core.Exit:
-		l.exit = true
+		l.exitRequested = true
 	}
 }
 
-func (l *loop) encode(e *core.Effect) *packet {
+func (l *coreLoop) encodeDatagram(effect *core.Effect) *packet {
 	p := newPacket()
 	var err error
-	if p.data, err = message.Encode(p.data, &e.Datagram); err != nil {
-		l.unsent.Add(1)
-		l.d.log.Warn("datagram-not-encoded", "service", e.Service, "to", e.Endpoint, "error", err)
+	if p.data, err = message.Encode(p.data, &effect.Datagram); err != nil {
+		l.unencodable.Add(1)
+		l.d.log.Warn("datagram-not-encoded", "service", effect.Service, "to", effect.Endpoint, "error", err)
 		p.release()
 		return nil
 	}
-	p.service, p.peer = e.Service, e.Endpoint
+	p.service, p.peer = effect.Service, effect.Endpoint
 	return p
 }
 
-func (l *loop) span(e *core.Effect) {
-	if int(e.Stage) >= len(hopNames) || !l.d.tracer.Sampled(e.TraceID) {
+func (l *coreLoop) recordSpan(effect *core.Effect) {
+	if int(effect.Stage) >= len(spanNames) || !l.d.tracer.Sampled(effect.TraceID) {
 		return
 	}
 	if !l.d.spans.Push(telemetry.Hop{
-		Name: hopNames[e.Stage], Request: e.TraceID, Service: e.Service, Target: e.Target,
-		Start: time.Unix(0, int64(e.Start)), Duration: e.Duration,
+		Name: spanNames[effect.Stage], Request: effect.TraceID, Service: effect.Service, Target: effect.Target,
+		Start: time.Unix(0, int64(effect.Start)), Duration: effect.Duration,
 	}) {
 		l.spansDropped.Add(1)
 	}
 }
 
-// logLevels holds the events of the core that need attention; all others are
-// logged as information.
+// logLevels holds the levels of the core's log events that need attention. All
+// other events are logged at level Info.
 var logLevels = map[string]slog.Level{
 	"config-refused":   slog.LevelError,
 	"superseded":       slog.LevelError,
--- a/internal/daemon/health.go
+++ b/internal/daemon/health.go
@@ -14,11 +14,12 @@
 	"arbutusdock.example/arbutusdock/internal/ids"
 )
 
-// maxHealthBody bounds the response of a health endpoint, in bytes.
-const maxHealthBody = 4096
+// maxHealthBodyBytes is the largest response body that a health endpoint may
+// return.
+const maxHealthBodyBytes = 4096
 
-// checker runs health checks on a worker pool.
-type checker struct {
+// healthChecker runs health checks on a worker pool.
+type healthChecker struct {
 	pool    pond.Pool
 	client  *http.Client
 	timeout time.Duration
@@ -26,12 +27,13 @@
 	report  func(core.HealthEvent)
 }
 
-func newChecker(ctx context.Context, workers int, timeout time.Duration, report func(core.HealthEvent)) *checker {
-	return &checker{
+func newHealthChecker(ctx context.Context, workers int, timeout time.Duration, report func(core.HealthEvent)) *healthChecker {
+	return &healthChecker{
 		pool: pond.NewPool(workers, pond.WithContext(ctx), pond.WithQueueSize(8*workers), pond.WithNonBlocking(true)),
 		client: &http.Client{
 			Transport: &http.Transport{MaxIdleConnsPerHost: 1, MaxIdleConns: 256, IdleConnTimeout: 30 * time.Second},
-			// A redirect may lead to another server, whose health says nothing.
+			// A redirect may lead to another server, whose health says nothing
+			// about the target.
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		},
 		timeout: timeout,
@@ -40,13 +42,13 @@
 	}
 }
 
-// check starts a health check and reports false when the pool is full.
-func (c *checker) check(service ids.Service, target ids.Target, url string) bool {
+// check starts a health check. It returns false when the pool's queue is full.
+func (c *healthChecker) check(service ids.Service, target ids.Target, url string) bool {
 	err := c.pool.Go(func() {
 		start := time.Now()
 		event, err := c.probe(url)
 		if err != nil {
-			event = core.HealthEvent{Load: -1} // an unreachable or invalid endpoint is not healthy
+			event = core.HealthEvent{Load: -1} // an unreachable endpoint or an invalid response counts as unhealthy
 		}
 		event.Service, event.Target, event.Duration = service, target, time.Since(start)
 		c.report(event)
@@ -54,7 +56,7 @@
 	return err == nil
 }
 
-func (c *checker) probe(url string) (core.HealthEvent, error) {
+func (c *healthChecker) probe(url string) (core.HealthEvent, error) {
 	ctx, cancel := context.WithTimeout(c.ctx, c.timeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -69,15 +71,16 @@
 	if response.StatusCode != http.StatusOK {
 		return core.HealthEvent{}, eris.Errorf("health check %s: status %d", url, response.StatusCode)
 	}
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxHealthBody+1))
-	if err != nil || len(data) > maxHealthBody {
-		return core.HealthEvent{}, eris.Errorf("health check %s: unreadable body", url)
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxHealthBodyBytes+1))
+	if err != nil || len(data) > maxHealthBodyBytes {
+		return core.HealthEvent{}, eris.Errorf("health check %s: body unreadable or too large", url)
 	}
 	return parseHealth(data)
 }
 
-// parseHealth decodes the body of section 3.7. A load that is absent or out of
-// range is reported as unknown; the status still counts.
+// parseHealth decodes the body of a health response (section 3.7 of the
+// design). A load that is absent or out of range is reported as -1, unknown;
+// the status is used all the same.
 func parseHealth(data []byte) (core.HealthEvent, error) {
 	var body struct {
 		Status string   `json:"status"`
--- a/internal/daemon/latency_bench_test.go
+++ b/internal/daemon/latency_bench_test.go
@@ -13,18 +13,19 @@
 	"arbutusdock.example/arbutusdock/internal/message"
 )
 
-// closedLoop sends requests to at from window callers without a pause and
-// returns the time and the processor time that each took.
-func closedLoop(b *testing.B, at netip.AddrPort, window, requests int) (wall, cpu time.Duration) {
-	var left, failed atomic.Int64
-	left.Store(int64(requests))
+// runClosedLoop sends requests to address from a number of callers, each of
+// which sends its next request as soon as it has the response. It returns the
+// wall-clock time and the CPU time per request.
+func runClosedLoop(b *testing.B, address netip.AddrPort, callers, requests int) (wall, cpu time.Duration) {
+	var remaining, failed atomic.Int64
+	remaining.Store(int64(requests))
 	var wg sync.WaitGroup
 	begin, start := time.Now(), cpuTime(b)
-	for range window {
-		c := newCaller(b)
+	for range callers {
+		c := newTestCaller(b)
 		wg.Go(func() {
-			for left.Add(-1) >= 0 {
-				if m, ok := c.try(at, message.GET, nil, 2*time.Second); !ok || m.Code != message.Content {
+			for remaining.Add(-1) >= 0 {
+				if m, ok := c.request(address, message.GET, nil, 2*time.Second); !ok || m.Code != message.Content {
 					failed.Add(1)
 				}
 			}
@@ -36,21 +37,21 @@
 	return time.Since(begin) / n, (cpuTime(b) - start) / n
 }
 
-// BenchmarkDatagramsPerCore reports the processor time that an instance takes
-// for one request, as the difference between requests through it and requests
-// straight to the same backend server, and the datagrams that one core
-// therefore handles in a second. A request is four datagrams at the instance.
+// BenchmarkDatagramsPerCore reports the CPU time that an instance uses for one
+// request, computed as the difference between requests through it and requests
+// sent directly to the same backend server, and the resulting datagrams per
+// second and core. The instance handles four datagrams for each request.
 func BenchmarkDatagramsPerCore(b *testing.B) {
-	const window, requests = 32, 5000
-	s := newSite(b, 64)
+	const callers, requests = 32, 5000
+	s := newTestSite(b, 64)
 	backend := netip.MustParseAddrPort(s.startBackend())
-	r := s.start(1)
-	at := netip.AddrPortFrom(r.ip, s.service.Port())
-	newCaller(b).get(at)
+	r := s.startDaemon(1)
+	address := netip.AddrPortFrom(r.ip, s.serviceAddress.Port())
+	newTestCaller(b).getUntilSuccess(address)
 	var through, direct time.Duration
 	for b.Loop() {
-		_, t := closedLoop(b, at, window, requests)
-		_, d := closedLoop(b, backend, window, requests)
+		_, t := runClosedLoop(b, address, callers, requests)
+		_, d := runClosedLoop(b, backend, callers, requests)
 		through, direct = through+t, direct+d
 	}
 	cost := float64((through - direct).Nanoseconds()) / float64(b.N)
@@ -58,40 +59,41 @@
 	b.ReportMetric(4e9/cost, "datagrams/core-s")
 }
 
-// BenchmarkAddedLatency sends requests at half of the rate that the instance
-// reaches here, by turns through it and straight to a backend server, and
-// reports both latencies and their difference.
+// BenchmarkAddedLatency sends requests at half of the maximum rate of the
+// instance on this machine, alternately through the instance and directly to a
+// backend server. It reports both latencies and their difference.
 func BenchmarkAddedLatency(b *testing.B) {
 	const callers, requests = 16, 8000
-	s := newSite(b, 64)
+	s := newTestSite(b, 64)
 	backend := netip.MustParseAddrPort(s.startBackend())
-	r := s.start(1)
-	at := netip.AddrPortFrom(r.ip, s.service.Port())
-	newCaller(b).get(at)
-	full, _ := closedLoop(b, at, 32, requests)
-	// Each caller makes a pair of requests, one each way, every pause.
-	pause := 2 * full * callers
+	r := s.startDaemon(1)
+	address := netip.AddrPortFrom(r.ip, s.serviceAddress.Port())
+	newTestCaller(b).getUntilSuccess(address)
+	minInterval, _ := runClosedLoop(b, address, 32, requests)
+	// In each pairInterval, every caller sends a pair of requests, one by each
+	// route.
+	pairInterval := 2 * minInterval * callers
 	var mu sync.Mutex
 	latency := [2]*hdrhistogram.Histogram{hdrhistogram.New(1000, 5e9, 3), hdrhistogram.New(1000, 5e9, 3)}
 	for b.Loop() {
 		var wg sync.WaitGroup
 		for k := range callers {
-			c := newCaller(b)
+			c := newTestCaller(b)
 			wg.Go(func() {
-				next := time.Now().Add(pause * time.Duration(k) / callers)
+				next := time.Now().Add(pairInterval * time.Duration(k) / callers)
 				for range requests / callers {
 					time.Sleep(time.Until(next))
-					next = next.Add(pause)
-					for way, to := range [2]netip.AddrPort{at, backend} {
+					next = next.Add(pairInterval)
+					for route, to := range [2]netip.AddrPort{address, backend} {
 						begin := time.Now()
-						m, ok := c.try(to, message.GET, nil, 4*time.Second)
-						took := time.Since(begin)
+						m, ok := c.request(to, message.GET, nil, 4*time.Second)
+						elapsed := time.Since(begin)
 						if !ok || m.Code != message.Content {
 							b.Errorf("no response from %s", to)
 							return
 						}
 						mu.Lock()
-						_ = latency[way].RecordValue(took.Nanoseconds())
+						_ = latency[route].RecordValue(elapsed.Nanoseconds())
 						mu.Unlock()
 					}
 				}
@@ -99,7 +101,7 @@
 		}
 		wg.Wait()
 	}
-	b.ReportMetric(1/(2*full).Seconds(), "requests/s")
+	b.ReportMetric(1/(2*minInterval).Seconds(), "requests/s")
 	for _, q := range []float64{50, 99} {
 		name := map[float64]string{50: "p50", 99: "p99"}[q]
 		through, direct := latency[0].ValueAtQuantile(q), latency[1].ValueAtQuantile(q)
--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -14,159 +14,162 @@
 )
 
 const (
-	// closeAfter is the time for which the socket of a removed service stays
-	// open, so that requests under way get their responses.
-	closeAfter = 10 * time.Second
-	// reopenAfter is the time after which a failed bind is repeated.
-	reopenAfter = time.Second
+	// removedSocketLinger is the time for which the socket of a removed service
+	// stays open, so that requests in progress get their responses.
+	removedSocketLinger = 10 * time.Second
+	// rebindInterval is the time after which a failed bind is retried.
+	rebindInterval = time.Second
 )
 
-// listeners holds the service sockets. It belongs to the core goroutine.
-type listeners struct {
-	ip      netip.Addr // for services that name no address
-	in      *ring.Ring[*packet]
-	writers []*writer
-	log     *slog.Logger
-	counts  socketCounts
-
-	open      map[netip.AddrPort]*listener
-	byService map[ids.Service]*listener
-	retryAt   time.Time
+// serviceListeners holds the service sockets. Only the core goroutine may use
+// it.
+type serviceListeners struct {
+	defaultIP    netip.Addr // used by services without a configured address
+	receiveQueue *ring.Ring[*packet]
+	writers      []*writer
+	log          *slog.Logger
+	counts       socketCounts
+
+	byAddress map[netip.AddrPort]*serviceListener
+	byService map[ids.Service]*serviceListener
+	rebindAt  time.Time
 }
 
-type listener struct {
-	at      netip.AddrPort
-	service ids.Service
-	socket  *socket
-	unused  time.Time // since when no service uses it; zero while in use
+type serviceListener struct {
+	address     netip.AddrPort
+	service     ids.Service
+	socket      *socket
+	unusedSince time.Time // time from which no service has used it; zero while in use
 }
 
-// serviceWriters is the number of goroutines that send to callers. More than
-// one keeps a socket whose send buffer is full from holding up all others.
-const serviceWriters = 4
+// callerWriterCount is the number of goroutines that send to callers. With more
+// than one, a socket whose send buffer is full does not block all the others.
+const callerWriterCount = 4
 
-func newListeners(ip netip.Addr, in *ring.Ring[*packet], writes int, log *slog.Logger, metrics *telemetry.Registry) *listeners {
-	l := &listeners{
-		ip: ip, in: in, log: log,
+func newServiceListeners(ip netip.Addr, receiveQueue *ring.Ring[*packet], writerCapacity int, log *slog.Logger, metrics *telemetry.Registry) *serviceListeners {
+	l := &serviceListeners{
+		defaultIP: ip, receiveQueue: receiveQueue, log: log,
 		counts:    newSocketCounts(metrics, "caller"),
-		open:      make(map[netip.AddrPort]*listener),
-		byService: make(map[ids.Service]*listener),
+		byAddress: make(map[netip.AddrPort]*serviceListener),
+		byService: make(map[ids.Service]*serviceListener),
 	}
-	for i := range serviceWriters {
-		w := newWriter(writes)
+	for i := range callerWriterCount {
+		w := newWriter(writerCapacity)
 		l.writers = append(l.writers, w)
 		metrics.Ring("write_caller_"+strconv.Itoa(i), w.ring.Stats)
 	}
 	return l
 }
 
-// address returns where callers reach s.
-func (l *listeners) address(s *config.Service) netip.AddrPort {
+// address returns the address on which s receives datagrams of callers.
+func (l *serviceListeners) address(s *config.Service) netip.AddrPort {
 	ip := s.Address
 	if !ip.IsValid() || ip.IsUnspecified() {
-		ip = l.ip
+		ip = l.defaultIP
 	}
 	return netip.AddrPortFrom(ip, s.Port)
 }
 
-// apply opens and closes sockets so that each of services has one.
-func (l *listeners) apply(now time.Time, services []config.Service) {
-	l.retryAt = time.Time{}
+// apply opens a socket for each of services, and marks the sockets that no
+// service uses any more, so that closeUnused closes them.
+func (l *serviceListeners) apply(now time.Time, services []config.Service) {
+	l.rebindAt = time.Time{}
 	wanted := l.resolve(services)
 	clear(l.byService)
-	for at, o := range l.open {
-		if _, used := wanted[at]; !used && o.unused.IsZero() {
-			o.unused = now
-			l.byService[o.service] = o // responses under way leave from here
+	for address, listener := range l.byAddress {
+		if _, used := wanted[address]; !used && listener.unusedSince.IsZero() {
+			listener.unusedSince = now
+			l.byService[listener.service] = listener // responses in progress are still sent from this socket
 		}
 	}
-	for at, service := range wanted {
-		l.use(now, at, service)
+	for address, service := range wanted {
+		l.assign(now, address, service)
 	}
 }
 
-// resolve returns the service of each address. When several services name one
-// address, the one that holds it keeps it; if none does, none gets it: another
-// instance may serve the address for any of them, and its datagrams must not
-// reach a different service here.
-func (l *listeners) resolve(services []config.Service) map[netip.AddrPort]ids.Service {
-	claims := make(map[netip.AddrPort][]ids.Service, len(services))
+// resolve returns the service of each address. When several services are
+// configured with the same address, the service that already uses the address
+// keeps it. If none of them does, the address is not served: another instance
+// may serve it for any of the services, and a datagram sent to the address must
+// not reach a different service at this instance.
+func (l *serviceListeners) resolve(services []config.Service) map[netip.AddrPort]ids.Service {
+	namesByAddress := make(map[netip.AddrPort][]ids.Service, len(services))
 	for i := range services {
-		at := l.address(&services[i])
-		claims[at] = append(claims[at], services[i].Name)
+		address := l.address(&services[i])
+		namesByAddress[address] = append(namesByAddress[address], services[i].Name)
 	}
-	wanted := make(map[netip.AddrPort]ids.Service, len(claims))
-	for at, names := range claims {
+	wanted := make(map[netip.AddrPort]ids.Service, len(namesByAddress))
+	for address, names := range namesByAddress {
 		if len(names) == 1 {
-			wanted[at] = names[0]
+			wanted[address] = names[0]
 			continue
 		}
 		served := "none"
-		if o := l.open[at]; o != nil && o.unused.IsZero() && slices.Contains(names, o.service) {
-			wanted[at] = o.service
-			served = string(o.service)
+		if listener := l.byAddress[address]; listener != nil && listener.unusedSince.IsZero() && slices.Contains(names, listener.service) {
+			wanted[address] = listener.service
+			served = string(listener.service)
 		}
-		l.log.Error("service-address-conflict", "address", at, "services", names, "served", served)
+		l.log.Error("service-address-conflict", "address", address, "services", names, "served", served)
 	}
 	return wanted
 }
 
-func (l *listeners) use(now time.Time, at netip.AddrPort, service ids.Service) {
-	o := l.open[at]
-	if o == nil {
-		writer := l.writers[ids.HashEndpoint(at)%serviceWriters]
-		s, err := openSocket(at, &service, l.in, writer, l.counts)
+func (l *serviceListeners) assign(now time.Time, address netip.AddrPort, service ids.Service) {
+	listener := l.byAddress[address]
+	if listener == nil {
+		writer := l.writers[ids.HashEndpoint(address)%callerWriterCount]
+		socket, err := openSocket(address, &service, l.receiveQueue, writer, l.counts)
 		if err != nil {
-			l.log.Error("service-socket-failed", "service", service, "address", at, "error", err)
-			l.retryAt = now.Add(reopenAfter)
+			l.log.Error("service-socket-failed", "service", service, "address", address, "error", err)
+			l.rebindAt = now.Add(rebindInterval)
 			return
 		}
-		o = &listener{at: at, socket: s}
-		l.open[at] = o
-		l.log.Info("service-socket-opened", "service", service, "address", at)
+		listener = &serviceListener{address: address, socket: socket}
+		l.byAddress[address] = listener
+		l.log.Info("service-socket-opened", "service", service, "address", address)
 	}
-	o.service, o.unused = service, time.Time{}
-	o.socket.service.Store(&service)
-	l.byService[service] = o
+	listener.service, listener.unusedSince = service, time.Time{}
+	listener.socket.service.Store(&service)
+	l.byService[service] = listener
 }
 
-// expire closes the sockets that are no longer used and reports whether apply
-// is to be called again for a bind that failed.
-func (l *listeners) expire(now time.Time) (again bool) {
-	for at, o := range l.open {
-		if !o.unused.IsZero() && now.Sub(o.unused) >= closeAfter {
-			l.remove(at, o)
+// closeUnused closes the sockets that have been unused for removedSocketLinger.
+// It reports whether the caller must call apply again to retry a failed bind.
+func (l *serviceListeners) closeUnused(now time.Time) (retryBind bool) {
+	for address, listener := range l.byAddress {
+		if !listener.unusedSince.IsZero() && now.Sub(listener.unusedSince) >= removedSocketLinger {
+			l.closeListener(address, listener)
 		}
 	}
-	return !l.retryAt.IsZero() && now.After(l.retryAt)
+	return !l.rebindAt.IsZero() && now.After(l.rebindAt)
 }
 
-func (l *listeners) remove(at netip.AddrPort, o *listener) {
-	delete(l.open, at)
-	if l.byService[o.service] == o {
-		delete(l.byService, o.service)
+func (l *serviceListeners) closeListener(address netip.AddrPort, listener *serviceListener) {
+	delete(l.byAddress, address)
+	if l.byService[listener.service] == listener {
+		delete(l.byService, listener.service)
 	}
-	o.socket.close()
-	l.log.Info("service-socket-closed", "service", o.service, "address", at)
+	listener.socket.close()
+	l.log.Info("service-socket-closed", "service", listener.service, "address", address)
 }
 
-// send sends p from the address of its service. It reports false when the
-// service has no socket.
-func (l *listeners) send(p *packet) bool {
-	o := l.byService[p.service]
-	if o == nil {
+// send queues p to be sent from the address of its service. It returns false
+// when the service has no socket.
+func (l *serviceListeners) send(p *packet) bool {
+	listener := l.byService[p.service]
+	if listener == nil {
 		return false
 	}
-	o.socket.send(p)
+	listener.socket.send(p)
 	return true
 }
 
-// close writes what is queued and closes all sockets.
-func (l *listeners) close() {
+// close sends the queued datagrams and closes all sockets.
+func (l *serviceListeners) close() {
 	for _, w := range l.writers {
 		w.close()
 	}
-	for _, o := range l.open {
-		o.socket.close()
+	for _, listener := range l.byAddress {
+		listener.socket.close()
 	}
 }
--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -20,211 +20,213 @@
 )
 
 const (
-	tickEvery = 10 * time.Millisecond // section 3.1 of the design
-	// publishEvery is the interval at which the counters of the core become
-	// visible as metrics.
-	publishEvery = time.Second
-	// maxDecision is the largest decision time that the histogram resolves.
-	maxDecision = 10 * time.Second
+	tickInterval = 10 * time.Millisecond // section 3.1 of the design
+	// publishInterval is the interval at which the counters of the core are
+	// copied to the metrics.
+	publishInterval = time.Second
+	// maxDecisionTime is the longest decision time that the histogram records.
+	maxDecisionTime = 10 * time.Second
 )
 
-// loop is the core goroutine. Nothing else touches the core.
-type loop struct {
+// coreLoop is the state of the core goroutine, the only one that accesses the
+// core.
+type coreLoop struct {
 	d       *Daemon
 	effects core.Effects
-	// Events are kept here, so that no call of the core allocates one.
-	caller  core.CallerEvent
-	backend core.BackendEvent
-	relayed message.Message // decoded datagram of a Relay
-	ticked  ids.Time
-	exit    bool
-	// stopping tells that the graceful shutdown has started.
+	// The event structs are reused, so that calls of the core do not allocate.
+	callerEvent     core.CallerEvent
+	backendEvent    core.BackendEvent
+	relayedDatagram message.Message // decoded datagram of a peerwire.Relay
+	lastTick        ids.Time
+	exitRequested   bool
+	// stopping is true once the graceful shutdown has started.
 	stopping bool
 
-	revision ids.Revision // of the services that the listeners serve
+	revision ids.Revision // configuration revision of services
 	services []config.Service
 
-	decisions   *hdrhistogram.Histogram // nanoseconds, since the last publication
-	publishedAt time.Time
-	panicLogged time.Time
-	published   atomic.Pointer[published]
+	decisionTimes *hdrhistogram.Histogram // in nanoseconds, since publishedAt
+	publishedAt   time.Time
+	panicLogged   time.Time
+	published     atomic.Pointer[coreMetrics]
 
-	events, panics, unsent, unroutable, checksDropped, spansDropped *expvar.Int
+	events, panics, unencodable, unroutable, checksDropped, spansDropped *expvar.Int
 }
 
-// published is what the metrics show of the core.
-type published struct {
+// coreMetrics holds the values of the core that are exported as metrics.
+type coreMetrics struct {
 	counts   core.Counters
 	p50, p99 int64 // decision time in nanoseconds
-	most     int64
+	max      int64 // longest decision time in nanoseconds
 }
 
-func (l *loop) init(d *Daemon) {
+func (l *coreLoop) init(d *Daemon) {
 	l.d = d
-	l.decisions = hdrhistogram.New(1, maxDecision.Nanoseconds(), 2)
+	l.decisionTimes = hdrhistogram.New(1, maxDecisionTime.Nanoseconds(), 2)
 	l.events = d.metrics.Counter("core_events_total")
 	l.panics = d.metrics.Counter("core_panics_total")
-	l.unsent = d.metrics.Counter("core_unencodable_dropped_total")
+	l.unencodable = d.metrics.Counter("core_unencodable_dropped_total")
 	l.unroutable = d.metrics.Counter("core_no_service_socket_dropped_total")
 	l.checksDropped = d.metrics.Counter("health_checks_dropped_total")
 	l.spansDropped = d.metrics.Counter("trace_spans_dropped_total")
-	l.published.Store(&published{})
-	for name, f := range map[string]func(*published) any{
-		"core_decision_p50_nanoseconds":  func(p *published) any { return p.p50 },
-		"core_decision_p99_nanoseconds":  func(p *published) any { return p.p99 },
-		"core_decision_most_nanoseconds": func(p *published) any { return p.most },
+	l.published.Store(&coreMetrics{})
+	for name, value := range map[string]func(*coreMetrics) any{
+		"core_decision_p50_nanoseconds":  func(p *coreMetrics) any { return p.p50 },
+		"core_decision_p99_nanoseconds":  func(p *coreMetrics) any { return p.p99 },
+		"core_decision_most_nanoseconds": func(p *coreMetrics) any { return p.max },
 	} {
-		d.metrics.Gauge(name, func() any { return f(l.published.Load()) })
+		d.metrics.Gauge(name, func() any { return value(l.published.Load()) })
 	}
 	l.exportCounters(d)
 }
 
-// exportCounters registers each counter of the core as a metric, for example
-// LateResponses as core_late_responses_total.
-func (l *loop) exportCounters(d *Daemon) {
+// exportCounters registers a metric for each counter of the core, for example
+// core_late_responses_total for LateResponses.
+func (l *coreLoop) exportCounters(d *Daemon) {
 	for _, field := range reflect.VisibleFields(reflect.TypeFor[core.Counters]()) {
-		name := strings.ToLower(words.ReplaceAllString(field.Name, "${1}_${2}"))
+		name := strings.ToLower(wordBoundary.ReplaceAllString(field.Name, "${1}_${2}"))
 		d.metrics.Gauge("core_"+name+"_total", func() any {
 			return reflect.ValueOf(l.published.Load().counts).FieldByIndex(field.Index).Uint()
 		})
 	}
 }
 
-// words matches the border between two words of a field name.
-var words = regexp.MustCompile(`([a-z])([A-Z])`)
+// wordBoundary matches the boundary between two words of a field name.
+var wordBoundary = regexp.MustCompile(`([a-z])([A-Z])`)
 
-func (l *loop) run(ctx context.Context) {
-	ticker := time.NewTicker(tickEvery)
+func (l *coreLoop) run(ctx context.Context) {
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	stop := l.d.stop
 	l.tick()
-	for !l.exit {
+	for !l.exitRequested {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 			l.tick()
-		case p := <-l.d.callers.Out():
-			l.caller = core.CallerEvent{Service: p.service, Caller: p.peer, Message: &p.message}
-			l.do(func(now ids.Time) { l.d.core.HandleCaller(now, &l.caller, &l.effects) })
+		case p := <-l.d.callerPackets.Out():
+			l.callerEvent = core.CallerEvent{Service: p.service, Caller: p.peer, Message: &p.message}
+			l.handle(func(now ids.Time) { l.d.core.HandleCaller(now, &l.callerEvent, &l.effects) })
 			p.release()
-		case p := <-l.d.backends.Out():
-			l.backend = core.BackendEvent{From: p.peer, Message: &p.message}
-			l.do(func(now ids.Time) { l.d.core.HandleBackend(now, &l.backend, &l.effects) })
+		case p := <-l.d.backendPackets.Out():
+			l.backendEvent = core.BackendEvent{From: p.peer, Message: &p.message}
+			l.handle(func(now ids.Time) { l.d.core.HandleBackend(now, &l.backendEvent, &l.effects) })
 			p.release()
-		case m := <-l.d.messages.Out():
-			l.peer(m)
-		case m := <-l.d.signals.Out():
-			l.peer(m)
-		case e := <-l.d.control.Out():
-			l.control(e)
-		case query := <-l.d.queries:
-			l.guard(query)
+		case m := <-l.d.dataMessages.Out():
+			l.handlePeerMessage(m)
+		case m := <-l.d.controlMessages.Out():
+			l.handlePeerMessage(m)
+		case event := <-l.d.controlEvents.Out():
+			l.handleControlEvent(event)
+		case call := <-l.d.coreCalls:
+			l.recoverPanics(call)
 		case <-stop:
 			stop, l.stopping = nil, true
 			l.d.log.Info("shutdown-started")
-			l.do(func(now ids.Time) { l.d.core.Stop(now, &l.effects) })
+			l.handle(func(now ids.Time) { l.d.core.Stop(now, &l.effects) })
 		}
 	}
 }
 
-// do runs one call of the core and carries its effects out. When a tick is
-// due it comes first, so that the core notices a pause of the process before
-// it sees what queued up meanwhile.
-func (l *loop) do(call func(now ids.Time)) {
-	if l.d.clock.now().Sub(l.ticked) >= tickEvery {
+// handle runs one call of the core and applies its effects. A tick that is due
+// runs first, so that the core detects a pause of the process before it
+// processes the events that were queued during the pause.
+func (l *coreLoop) handle(callCore func(now ids.Time)) {
+	if l.d.clock.now().Sub(l.lastTick) >= tickInterval {
 		l.tick()
 	}
-	l.step(call)
+	l.step(callCore)
 }
 
-func (l *loop) tick() {
-	l.ticked = l.d.clock.now()
+func (l *coreLoop) tick() {
+	l.lastTick = l.d.clock.now()
 	l.step(func(now ids.Time) { l.d.core.Tick(now, &l.effects) })
-	wall := time.Now()
-	if l.d.listeners.expire(wall) {
-		l.d.listeners.apply(wall, l.services)
+	wallTime := time.Now()
+	if l.d.listeners.closeUnused(wallTime) {
+		l.d.listeners.apply(wallTime, l.services)
 	}
-	if wall.Sub(l.publishedAt) >= publishEvery {
-		l.publish(wall)
+	if wallTime.Sub(l.publishedAt) >= publishInterval {
+		l.publish(wallTime)
 	}
 }
 
-// step runs call and carries its effects out.
-func (l *loop) step(call func(now ids.Time)) {
-	l.guard(func() {
+// step runs callCore, applies the effects and records the decision time.
+func (l *coreLoop) step(callCore func(now ids.Time)) {
+	l.recoverPanics(func() {
 		l.effects.Reset()
 		start := l.d.clock.now()
-		call(start)
-		_ = l.decisions.RecordValue(l.d.clock.now().Sub(start).Nanoseconds()) // fails above maxDecision only
+		callCore(start)
+		_ = l.decisionTimes.RecordValue(l.d.clock.now().Sub(start).Nanoseconds()) // fails only for values above maxDecisionTime
 		l.events.Add(1)
 		for i := range l.effects.List {
-			l.carryOut(&l.effects.List[i])
+			l.applyEffect(&l.effects.List[i])
 		}
 	})
 }
 
-// guard runs f. A panic costs the event that caused it, not the flows of the
-// instance; it is counted, and logged with its stack at most once a second.
-func (l *loop) guard(f func()) {
+// recoverPanics runs fn and recovers from a panic. Only the event that caused
+// the panic is lost, not the flows of the instance. The panic is counted, and
+// logged with its stack at most once a second.
+func (l *coreLoop) recoverPanics(fn func()) {
 	defer func() {
-		p := recover()
-		if p == nil {
+		cause := recover()
+		if cause == nil {
 			return
 		}
 		l.panics.Add(1)
 		if now := time.Now(); now.Sub(l.panicLogged) >= time.Second {
 			l.panicLogged = now
-			l.d.log.Error("core-panic", "panic", p, "stack", string(debug.Stack()))
+			l.d.log.Error("core-panic", "panic", cause, "stack", string(debug.Stack()))
 		}
 	}()
-	f()
+	fn()
 }
 
-func (l *loop) peer(m *peerwire.Message) {
-	e := core.PeerEvent{Message: m}
+func (l *coreLoop) handlePeerMessage(m *peerwire.Message) {
+	event := core.PeerEvent{Message: m}
 	if m.Relay != nil {
-		if err := message.Decode(m.Relay.Datagram, &l.relayed); err != nil {
+		if err := message.Decode(m.Relay.Datagram, &l.relayedDatagram); err != nil {
 			l.d.listeners.counts.malformed.Add(1)
 			return
 		}
-		e.RelayedDatagram = &l.relayed
+		event.RelayedDatagram = &l.relayedDatagram
 	}
-	l.do(func(now ids.Time) { l.d.core.HandlePeer(now, &e, &l.effects) })
+	l.handle(func(now ids.Time) { l.d.core.HandlePeer(now, &event, &l.effects) })
 	if m.ConfigDelta != nil {
-		l.reconfigure()
+		l.applyConfiguration()
 	}
 }
 
-func (l *loop) control(e event) {
+func (l *coreLoop) handleControlEvent(event controlEvent) {
 	switch {
-	case e.config != nil:
-		l.do(func(now ids.Time) { l.d.core.HandleConfig(now, e.config, &l.effects) })
-		l.reconfigure()
-	case e.instances != nil:
-		l.d.addresses.list(e.instances)
-		l.do(func(now ids.Time) { l.d.core.HandleInstances(now, e.instances, &l.effects) })
-	case e.health != nil:
-		l.do(func(now ids.Time) { l.d.core.HandleHealth(now, e.health, &l.effects) })
+	case event.config != nil:
+		l.handle(func(now ids.Time) { l.d.core.HandleConfig(now, event.config, &l.effects) })
+		l.applyConfiguration()
+	case event.instances != nil:
+		l.d.addresses.updateFromList(event.instances)
+		l.handle(func(now ids.Time) { l.d.core.HandleInstances(now, event.instances, &l.effects) })
+	case event.health != nil:
+		l.handle(func(now ids.Time) { l.d.core.HandleHealth(now, event.health, &l.effects) })
 	}
 }
 
-// reconfigure opens and closes service sockets after a configuration change.
-func (l *loop) reconfigure() {
-	if r := l.d.core.Revision(); r != l.revision {
-		l.revision = r
+// applyConfiguration updates the service sockets after a configuration change.
+func (l *coreLoop) applyConfiguration() {
+	if revision := l.d.core.Revision(); revision != l.revision {
+		l.revision = revision
 		l.services = l.d.core.Services(l.services[:0])
 		l.d.listeners.apply(time.Now(), l.services)
 	}
 }
 
-func (l *loop) publish(now time.Time) {
+func (l *coreLoop) publish(now time.Time) {
 	l.publishedAt = now
-	l.published.Store(&published{
+	l.published.Store(&coreMetrics{
 		counts: l.d.core.Counts(),
-		p50:    l.decisions.ValueAtQuantile(50),
-		p99:    l.decisions.ValueAtQuantile(99),
-		most:   l.decisions.Max(),
+		p50:    l.decisionTimes.ValueAtQuantile(50),
+		p99:    l.decisionTimes.ValueAtQuantile(99),
+		max:    l.decisionTimes.Max(),
 	})
-	l.decisions.Reset()
+	l.decisionTimes.Reset()
 }
--- a/internal/daemon/socket.go
+++ b/internal/daemon/socket.go
@@ -19,24 +19,27 @@
 )
 
 const (
-	// socketBuffer is asked for in each direction; the kernel may grant less.
-	// It covers bursts while the reader goroutine is not scheduled.
-	socketBuffer = 4 << 20
-	// idleAfter is the time without a datagram after which a socket gives its
-	// buffer back. It is long against the pauses of a socket that is in use.
-	idleAfter = time.Second
-	// readPause bounds the rate of repeated read errors.
-	readPause = 10 * time.Millisecond
+	// socketBufferBytes is the size requested for the receive and the send buffer
+	// of each socket; the kernel may grant less. The receive buffer absorbs
+	// bursts that arrive while the reader goroutine is not scheduled.
+	socketBufferBytes = 4 << 20
+	// idleTimeout is the time without a datagram after which a socket releases
+	// its packet buffer. It is much longer than the gaps between datagrams on an
+	// active socket.
+	idleTimeout = time.Second
+	// readErrorDelay limits the rate of repeated read errors.
+	readErrorDelay = 10 * time.Millisecond
 )
 
-// socket is one UDP socket with a reader goroutine. Its writer is shared.
+// socket is one UDP socket with its own reader goroutine and a writer that it
+// may share with other sockets.
 type socket struct {
-	conn    *net.UDPConn
-	service atomic.Pointer[ids.Service] // of arriving datagrams; nil for backend servers
-	in      *ring.Ring[*packet]
-	writer  *writer
-	counts  socketCounts
-	done    chan struct{} // closed when the reader has ended
+	conn         *net.UDPConn
+	service      atomic.Pointer[ids.Service] // service of received datagrams; nil for the socket to backend servers
+	receiveQueue *ring.Ring[*packet]
+	writer       *writer
+	counts       socketCounts
+	readerDone   chan struct{} // closed when the reader goroutine has ended
 }
 
 type socketCounts struct {
@@ -44,56 +47,58 @@
 	malformed, oversize, readErrors, writeErrors *expvar.Int
 }
 
-func newSocketCounts(r *telemetry.Registry, name string) socketCounts {
+func newSocketCounts(registry *telemetry.Registry, name string) socketCounts {
 	return socketCounts{
-		received:      r.Counter(name + "_received_datagrams_total"),
-		sent:          r.Counter(name + "_sent_datagrams_total"),
-		receivedBytes: r.Counter(name + "_received_bytes_total"),
-		sentBytes:     r.Counter(name + "_sent_bytes_total"),
-		malformed:     r.Counter(name + "_malformed_dropped_total"),
-		oversize:      r.Counter(name + "_oversize_dropped_total"),
-		readErrors:    r.Counter(name + "_read_errors_total"),
-		writeErrors:   r.Counter(name + "_write_errors_total"),
+		received:      registry.Counter(name + "_received_datagrams_total"),
+		sent:          registry.Counter(name + "_sent_datagrams_total"),
+		receivedBytes: registry.Counter(name + "_received_bytes_total"),
+		sentBytes:     registry.Counter(name + "_sent_bytes_total"),
+		malformed:     registry.Counter(name + "_malformed_dropped_total"),
+		oversize:      registry.Counter(name + "_oversize_dropped_total"),
+		readErrors:    registry.Counter(name + "_read_errors_total"),
+		writeErrors:   registry.Counter(name + "_write_errors_total"),
 	}
 }
 
-// openSocket binds a UDP socket and starts its reader. Datagrams that decode
-// are pushed to in.
-func openSocket(at netip.AddrPort, service *ids.Service, in *ring.Ring[*packet], w *writer, counts socketCounts) (*socket, error) {
-	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(at))
+// openSocket binds a UDP socket and starts its reader, which pushes valid
+// datagrams to receiveQueue.
+func openSocket(address netip.AddrPort, service *ids.Service, receiveQueue *ring.Ring[*packet], writer *writer, counts socketCounts) (*socket, error) {
+	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(address))
 	if err != nil {
-		return nil, eris.Wrapf(err, "open UDP socket %s", at)
+		return nil, eris.Wrapf(err, "open UDP socket %s", address)
 	}
-	// The kernel's limit may be lower; smaller buffers only lose more bursts.
-	_ = conn.SetReadBuffer(socketBuffer)
-	_ = conn.SetWriteBuffer(socketBuffer)
+	// The kernel may refuse or reduce the size. Smaller buffers only drop more
+	// datagrams in bursts.
+	_ = conn.SetReadBuffer(socketBufferBytes)
+	_ = conn.SetWriteBuffer(socketBufferBytes)
 	raw, err := conn.SyscallConn()
 	if err != nil {
-		_ = conn.Close() // it was never used
-		return nil, eris.Wrapf(err, "open UDP socket %s", at)
+		_ = conn.Close() // nothing was sent or received yet
+		return nil, eris.Wrapf(err, "open UDP socket %s", address)
 	}
-	s := &socket{conn: conn, in: in, writer: w, counts: counts, done: make(chan struct{})}
+	s := &socket{conn: conn, receiveQueue: receiveQueue, writer: writer, counts: counts, readerDone: make(chan struct{})}
 	s.service.Store(service)
 	go s.read(raw)
 	return s, nil
 }
 
-// read passes on what arrives. A socket without datagrams for idleAfter holds no
-// buffer: an instance has thousands, most of them idle.
+// read receives datagrams and delivers them to the core. A socket that has
+// received no datagram for idleTimeout holds no buffer, because an instance has
+// thousands of sockets, most of them idle.
 func (s *socket) read(raw syscall.RawConn) {
-	defer close(s.done)
+	defer close(s.readerDone)
 	var p *packet
-	var renewed time.Time // when the deadline was last set
+	var deadlineSetAt time.Time // when the deadline was last set
 	for {
 		if p == nil {
 			if err := awaitDatagram(raw); err != nil {
-				return // closed
+				return // the socket is closed
 			}
 			p = newPacket()
 		}
-		if now := time.Now(); now.Sub(renewed) > idleAfter/2 {
-			renewed = now
-			_ = s.conn.SetReadDeadline(now.Add(idleAfter)) // a closed socket shows in the read
+		if now := time.Now(); now.Sub(deadlineSetAt) > idleTimeout/2 {
+			deadlineSetAt = now
+			_ = s.conn.SetReadDeadline(now.Add(idleTimeout)) // if the socket is closed, the read below returns an error
 		}
 		n, from, err := s.conn.ReadFromUDPAddrPort(p.data[:cap(p.data)])
 		switch {
@@ -102,25 +107,25 @@
 			return
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			p.release()
-			p, renewed = nil, time.Time{}
-			_ = s.conn.SetReadDeadline(time.Time{}) // a closed socket shows in the wait
+			p, deadlineSetAt = nil, time.Time{}
+			_ = s.conn.SetReadDeadline(time.Time{}) // if the socket is closed, awaitDatagram returns an error
 			continue
 		case err != nil:
 			s.counts.readErrors.Add(1)
-			time.Sleep(readPause)
+			time.Sleep(readErrorDelay)
 			continue
 		}
 		s.counts.received.Add(1)
 		s.counts.receivedBytes.Add(int64(n))
 		p.data, p.peer = p.data[:n], netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
-		if s.accept(p) {
+		if s.deliver(p) {
 			p = newPacket()
 		}
 	}
 }
 
-// awaitDatagram waits until a datagram, or an error, can be read. Its own error
-// tells that the socket is closed.
+// awaitDatagram waits until a datagram or a socket error can be read. It
+// returns an error only when the socket is closed.
 func awaitDatagram(raw syscall.RawConn) error {
 	return raw.Read(func(fd uintptr) bool {
 		_, _, err := syscall.Recvfrom(int(fd), nil, syscall.MSG_PEEK)
@@ -128,9 +133,9 @@
 	})
 }
 
-// accept passes p to the core and reports whether it did.
-func (s *socket) accept(p *packet) bool {
-	if len(p.data) > maxDatagram { // the rest was cut off
+// deliver decodes p and queues it for the core. It reports whether p was queued.
+func (s *socket) deliver(p *packet) bool {
+	if len(p.data) > maxDatagram { // longer than the read buffer, so that the datagram was truncated
 		s.counts.oversize.Add(1)
 		return false
 	}
@@ -141,39 +146,40 @@
 	if service := s.service.Load(); service != nil {
 		p.service = *service
 	}
-	return s.in.Push(p)
+	return s.receiveQueue.Push(p)
 }
 
-// send queues p and releases it in the end.
+// send queues p for the writer, which releases it after sending. If the queue is
+// full, p is dropped.
 func (s *socket) send(p *packet) {
-	if !s.writer.ring.Push(outbound{socket: s, packet: p}) {
+	if !s.writer.ring.Push(outboundPacket{socket: s, packet: p}) {
 		p.release()
 	}
 }
 
-// close closes the socket and waits for its reader. What its writer has not
-// sent yet is lost.
+// close closes the socket and waits for its reader. Datagrams that the writer
+// has not sent yet are lost.
 func (s *socket) close() {
 	_ = s.conn.Close()
-	<-s.done
+	<-s.readerDone
 }
 
-// outbound is a datagram and the socket that it leaves from.
-type outbound struct {
+// outboundPacket is a packet and the socket from which it is sent.
+type outboundPacket struct {
 	socket *socket
 	packet *packet
 }
 
-// writer sends the datagrams of several sockets in one goroutine. Sharing it
-// keeps an idle service socket small.
+// writer sends the datagrams of one or more sockets in a single goroutine. It is
+// shared to reduce the memory of idle service sockets.
 type writer struct {
-	ring *ring.Ring[outbound]
-	stop chan struct{}
-	done chan struct{}
+	ring          *ring.Ring[outboundPacket]
+	stopRequested chan struct{}
+	done          chan struct{}
 }
 
 func newWriter(capacity int) *writer {
-	w := &writer{ring: ring.New[outbound](capacity), stop: make(chan struct{}), done: make(chan struct{})}
+	w := &writer{ring: ring.New[outboundPacket](capacity), stopRequested: make(chan struct{}), done: make(chan struct{})}
 	go w.run()
 	return w
 }
@@ -184,7 +190,7 @@
 		select {
 		case o := <-w.ring.Out():
 			o.write()
-		case <-w.stop:
+		case <-w.stopRequested:
 			for w.ring.Stats().Depth > 0 {
 				o := <-w.ring.Out()
 				o.write()
@@ -194,7 +200,7 @@
 	}
 }
 
-func (o outbound) write() {
+func (o outboundPacket) write() {
 	counts := &o.socket.counts
 	if _, err := o.socket.conn.WriteToUDPAddrPort(o.packet.data, o.packet.peer); err != nil {
 		counts.writeErrors.Add(1)
@@ -205,8 +211,9 @@
 	o.packet.release()
 }
 
-// close sends what is queued. Nothing may be queued afterwards.
+// close sends the queued datagrams and stops the writer. No packet may be queued
+// afterwards.
 func (w *writer) close() {
-	close(w.stop)
+	close(w.stopRequested)
 	<-w.done
 }
--- a/internal/daemon/socket_test.go
+++ b/internal/daemon/socket_test.go
@@ -30,7 +30,7 @@
 	return c.LocalAddr().(*net.UDPAddr).AddrPort().Port()
 }
 
-func send(t testing.TB, to netip.AddrPort, data []byte) {
+func sendDatagram(t testing.TB, to netip.AddrPort, data []byte) {
 	c, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(to))
 	assert.NilError(t, err)
 	_, err = c.Write(data)
@@ -38,10 +38,10 @@
 	assert.NilError(t, c.Close())
 }
 
-func next(t testing.TB, in *ring.Ring[*packet]) *packet {
+func nextPacket(t testing.TB, queue *ring.Ring[*packet]) *packet {
 	t.Helper()
 	select {
-	case p := <-in.Out():
+	case p := <-queue.Out():
 		return p
 	case <-time.After(2 * time.Second):
 		t.Fatal("no datagram within 2 s")
@@ -49,89 +49,91 @@
 	}
 }
 
-// Guards against malformed and truncated datagrams that reach the core or go
-// uncounted.
+// Guards against malformed or truncated datagrams that reach the core or are
+// not counted.
 func TestSocketDropsMalformed(t *testing.T) {
 	in, metrics := ring.New[*packet](8), telemetry.NewRegistry()
 	service := ids.Service("counter")
-	at := netip.AddrPortFrom(loopback, freePort(t))
-	s, err := openSocket(at, &service, in, newWriter(8), newSocketCounts(metrics, "caller"))
+	address := netip.AddrPortFrom(loopback, freePort(t))
+	s, err := openSocket(address, &service, in, newWriter(8), newSocketCounts(metrics, "caller"))
 	assert.NilError(t, err)
 	defer s.close()
-	send(t, at, []byte("not CoAP"))
-	send(t, at, append([]byte{0x40, 1, 0, 7, 0xff}, make([]byte, maxDatagram)...))
-	send(t, at, []byte{0x40, 1, 0, 7})
-	p := next(t, in)
+	sendDatagram(t, address, []byte("not CoAP"))
+	sendDatagram(t, address, append([]byte{0x40, 1, 0, 7, 0xff}, make([]byte, maxDatagram)...))
+	sendDatagram(t, address, []byte{0x40, 1, 0, 7})
+	p := nextPacket(t, in)
 	assert.Equal(t, p.message.ID, uint16(7))
 	assert.Equal(t, p.service, service)
 	assert.Equal(t, metrics.Counter("caller_malformed_dropped_total").Value(), int64(1))
 	assert.Equal(t, metrics.Counter("caller_oversize_dropped_total").Value(), int64(1))
 }
 
-// Guards against a socket that no longer receives, or cannot be closed, after it has
-// given its buffer back; an empty datagram is one too.
+// Guards against a socket that receives nothing more, or cannot be closed, after
+// it has released its buffer when idle. Empty datagrams must be received as well.
 func TestIdleSocketReceives(t *testing.T) {
 	in, metrics := ring.New[*packet](8), telemetry.NewRegistry()
-	at := netip.AddrPortFrom(loopback, freePort(t))
-	s, err := openSocket(at, nil, in, newWriter(8), newSocketCounts(metrics, "caller"))
+	address := netip.AddrPortFrom(loopback, freePort(t))
+	s, err := openSocket(address, nil, in, newWriter(8), newSocketCounts(metrics, "caller"))
 	assert.NilError(t, err)
 	for id := range byte(3) {
-		send(t, at, nil)
-		send(t, at, []byte{0x40, 1, 0, id})
-		assert.Equal(t, next(t, in).message.ID, uint16(id))
+		sendDatagram(t, address, nil)
+		sendDatagram(t, address, []byte{0x40, 1, 0, id})
+		assert.Equal(t, nextPacket(t, in).message.ID, uint16(id))
 		assert.Equal(t, metrics.Counter("caller_malformed_dropped_total").Value(), int64(id)+1)
-		time.Sleep(idleAfter + idleAfter/4)
+		time.Sleep(idleTimeout + idleTimeout/4)
 	}
 	s.close()
 	assert.Equal(t, metrics.Counter("caller_read_errors_total").Value(), int64(0))
 }
 
-// Guards against invariant 2: a datagram that is delivered to another service
-// after a change, and a conflict of addresses that lets a service take over
-// the socket of another one.
-func TestListenersFollowConfiguration(t *testing.T) {
+// Guards against a violation of invariant 2: a datagram that is delivered to a
+// different service after a configuration change, or a service that takes over
+// the socket of another service when both are configured with one address.
+func TestListenersApplyConfiguration(t *testing.T) {
 	in := ring.New[*packet](8)
-	l := newListeners(loopback, in, 8, slog.New(slog.DiscardHandler), telemetry.NewRegistry())
+	l := newServiceListeners(loopback, in, 8, slog.New(slog.DiscardHandler), telemetry.NewRegistry())
 	defer l.close()
-	one, two := freePort(t), freePort(t)
+	port1, port2 := freePort(t), freePort(t)
 	now := time.Now()
-	l.apply(now, []config.Service{{Name: "a", Port: one}, {Name: "0", Port: one}})
-	assert.Equal(t, len(l.open), 0, "conflict without a holder")
-	l.apply(now, []config.Service{{Name: "a", Port: one}, {Name: "b", Port: two, Address: loopback}})
-	l.apply(now, []config.Service{{Name: "0", Port: one}, {Name: "a", Port: one}, {Name: "b", Port: two, Address: loopback}})
-	assert.Equal(t, len(l.open), 2)
+	l.apply(now, []config.Service{{Name: "a", Port: port1}, {Name: "0", Port: port1}})
+	assert.Equal(t, len(l.byAddress), 0, "conflict without a holder")
+	l.apply(now, []config.Service{{Name: "a", Port: port1}, {Name: "b", Port: port2, Address: loopback}})
+	l.apply(now, []config.Service{{Name: "0", Port: port1}, {Name: "a", Port: port1}, {Name: "b", Port: port2, Address: loopback}})
+	assert.Equal(t, len(l.byAddress), 2)
 	assert.Assert(t, l.byService["0"] == nil)
-	send(t, netip.AddrPortFrom(loopback, one), []byte{0x40, 1, 0, 1})
-	assert.Equal(t, next(t, in).service, ids.Service("a"))
+	sendDatagram(t, netip.AddrPortFrom(loopback, port1), []byte{0x40, 1, 0, 1})
+	assert.Equal(t, nextPacket(t, in).service, ids.Service("a"))
 
-	l.apply(now, []config.Service{{Name: "c", Port: one}}) // a and b are removed, c takes the address of a
-	send(t, netip.AddrPortFrom(loopback, one), []byte{0x40, 1, 0, 1})
-	assert.Equal(t, next(t, in).service, ids.Service("c"))
+	l.apply(now, []config.Service{{Name: "c", Port: port1}}) // a and b are removed, c gets the address of a
+	sendDatagram(t, netip.AddrPortFrom(loopback, port1), []byte{0x40, 1, 0, 1})
+	assert.Equal(t, nextPacket(t, in).service, ids.Service("c"))
 	assert.Assert(t, l.byService["a"] == nil)
-	assert.Assert(t, l.send(&packet{service: "b", peer: netip.AddrPortFrom(loopback, one), data: []byte{0x40, 1, 0, 2}}),
+	assert.Assert(t, l.send(&packet{service: "b", peer: netip.AddrPortFrom(loopback, port1), data: []byte{0x40, 1, 0, 2}}),
 		"responses of the removed service still leave")
-	l.expire(now.Add(closeAfter))
-	assert.Equal(t, len(l.open), 1)
+	l.closeUnused(now.Add(removedSocketLinger))
+	assert.Equal(t, len(l.byAddress), 1)
 }
 
-// Guards against an address in use that stays unserved after it is free.
+// Guards against a service that stays without a socket after its address, which
+// another process used, has become free.
 func TestListenersRetryBind(t *testing.T) {
-	l := newListeners(loopback, ring.New[*packet](8), 8, slog.New(slog.DiscardHandler), telemetry.NewRegistry())
+	l := newServiceListeners(loopback, ring.New[*packet](8), 8, slog.New(slog.DiscardHandler), telemetry.NewRegistry())
 	defer l.close()
-	taken, err := net.ListenUDP("udp", &net.UDPAddr{IP: loopback.AsSlice()})
+	occupied, err := net.ListenUDP("udp", &net.UDPAddr{IP: loopback.AsSlice()})
 	assert.NilError(t, err)
-	services := []config.Service{{Name: "a", Port: taken.LocalAddr().(*net.UDPAddr).AddrPort().Port()}}
+	services := []config.Service{{Name: "a", Port: occupied.LocalAddr().(*net.UDPAddr).AddrPort().Port()}}
 	now := time.Now()
 	l.apply(now, services)
-	assert.Equal(t, len(l.open), 0)
-	assert.NilError(t, taken.Close())
-	assert.Assert(t, !l.expire(now) && l.expire(now.Add(2*reopenAfter)))
+	assert.Equal(t, len(l.byAddress), 0)
+	assert.NilError(t, occupied.Close())
+	assert.Assert(t, !l.closeUnused(now) && l.closeUnused(now.Add(2*rebindInterval)))
 	l.apply(now, services)
-	assert.Equal(t, len(l.open), 1)
+	assert.Equal(t, len(l.byAddress), 1)
 }
 
-// Guards against health responses that are misread: only "ok" and "draining"
-// in a bounded, valid body with status 200 count as healthy.
+// Guards against health responses that are interpreted wrongly: only a response
+// with status 200, a valid body within the size limit and the state "ok" or
+// "draining" counts as healthy.
 func TestHealthCheck(t *testing.T) {
 	body, status := "", http.StatusOK
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -140,8 +142,8 @@
 	}))
 	defer server.Close()
 	got := make(chan core.HealthEvent, 1)
-	c := newChecker(t.Context(), 1, time.Second, func(e core.HealthEvent) { got <- e })
-	for _, x := range []struct {
+	c := newHealthChecker(t.Context(), 1, time.Second, func(e core.HealthEvent) { got <- e })
+	for _, test := range []struct {
 		body              string
 		status            int
 		healthy, draining bool
@@ -154,38 +156,38 @@
 		{`{"status":"fine"}`, 200, false, false, -1},
 		{`{"status":"ok"}`, 500, false, false, -1},
 		{`no JSON`, 200, false, false, -1},
-		{`{"status":"ok","x":"` + strings.Repeat("x", maxHealthBody) + `"}`, 200, false, false, -1},
+		{`{"status":"ok","x":"` + strings.Repeat("x", maxHealthBodyBytes) + `"}`, 200, false, false, -1},
 	} {
-		body, status = x.body, x.status
+		body, status = test.body, test.status
 		assert.Assert(t, c.check("s", "t", server.URL))
 		e := <-got
 		assert.Assert(t, e.Duration > 0 && e.Service == "s" && e.Target == "t")
-		assert.DeepEqual(t, e, core.HealthEvent{Service: "s", Target: "t", Healthy: x.healthy, Draining: x.draining, Load: x.load, Duration: e.Duration})
+		assert.DeepEqual(t, e, core.HealthEvent{Service: "s", Target: "t", Healthy: test.healthy, Draining: test.draining, Load: test.load, Duration: e.Duration})
 	}
 	assert.Assert(t, c.check("s", "t", "http://127.0.0.1:1/"))
 	assert.Assert(t, !(<-got).Healthy)
 }
 
-// Guards against a lagging list or an old record that replaces the address an
-// instance states about itself.
-func TestAddresses(t *testing.T) {
-	a := newAddresses([]settings.Seed{{ID: "x", Address: netip.MustParseAddrPort("127.0.0.1:1")}})
-	stated := func(at string, run ids.Incarnation) {
-		a.learn(&peerwire.Message{Heartbeat: &peerwire.Heartbeat{Updates: []peerwire.Member{{ID: "x", PeerAddr: at, Incarnation: run}}}})
+// Guards against an outdated instance list, or a record of an older incarnation,
+// that replaces the address that an instance has announced itself.
+func TestAddressPrecedence(t *testing.T) {
+	a := newAddressBook([]settings.Seed{{ID: "x", Address: netip.MustParseAddrPort("127.0.0.1:1")}})
+	announceAddress := func(address string, incarnation ids.Incarnation) {
+		a.updateFromMessage(&peerwire.Message{Heartbeat: &peerwire.Heartbeat{Updates: []peerwire.Member{{ID: "x", PeerAddr: address, Incarnation: incarnation}}}})
 	}
-	expect := func(want string) {
+	expectAddress := func(want string) {
 		t.Helper()
 		got, ok := a.lookup("x")
 		assert.Assert(t, ok && got == want, got)
 	}
-	expect("127.0.0.1:1")
-	a.list(&core.InstancesEvent{Instances: []core.ListedInstance{{ID: "x", PeerAddr: "127.0.0.1:2"}}})
-	expect("127.0.0.1:2")
-	stated("127.0.0.1:3", 100)
-	stated("127.0.0.1:4", 99)
-	stated("nowhere", 101)
-	a.list(&core.InstancesEvent{Instances: []core.ListedInstance{{ID: "x", PeerAddr: "127.0.0.1:2"}}})
-	expect("127.0.0.1:3")
+	expectAddress("127.0.0.1:1")
+	a.updateFromList(&core.InstancesEvent{Instances: []core.ListedInstance{{ID: "x", PeerAddr: "127.0.0.1:2"}}})
+	expectAddress("127.0.0.1:2")
+	announceAddress("127.0.0.1:3", 100)
+	announceAddress("127.0.0.1:4", 99)
+	announceAddress("nowhere", 101)
+	a.updateFromList(&core.InstancesEvent{Instances: []core.ListedInstance{{ID: "x", PeerAddr: "127.0.0.1:2"}}})
+	expectAddress("127.0.0.1:3")
 	_, ok := a.lookup("y")
 	assert.Assert(t, !ok)
 }
--- a/internal/daemon/watch.go
+++ b/internal/daemon/watch.go
@@ -12,54 +12,54 @@
 	"arbutusdock.example/arbutusdock/internal/ring"
 )
 
-// listEvery is the interval between reads of the platform's list of instances,
-// jittered by half. 2,500 instances at this interval cause 250 reads a second,
-// an eighth of the platform's limit.
-const listEvery = 10 * time.Second
+// listInterval is the mean interval between reads of the platform's instance
+// list, with a jitter of up to 50% in both directions. 2,500 instances at this
+// interval cause 250 reads per second, an eighth of the platform's limit.
+const listInterval = 10 * time.Second
 
-// watchRequest is a read of the platform that the core asked for.
-type watchRequest struct {
+// readRequest is a request of the core to read documents from the platform.
+type readRequest struct {
 	after ids.Revision
 	watch bool
 }
 
-// watcher reads the platform for the core. A goroutine each serves documents
-// and the list of instances.
-type watcher struct {
-	client   *documents.Client
-	requests *ring.Ring[watchRequest]
-	emit     func(event) // blocks until the core takes the event or the daemon ends
-	log      *slog.Logger
+// platformWatcher reads documents and the instance list from the platform, each
+// in its own goroutine, and passes the results to the core.
+type platformWatcher struct {
+	client    *documents.Client
+	requests  *ring.Ring[readRequest]
+	pushEvent func(controlEvent) // blocks until the event is queued or the daemon stops
+	log       *slog.Logger
 }
 
-// documents runs the reads that the core asks for, one at a time.
-func (w *watcher) documents(ctx context.Context) {
+// watchDocuments executes the read requests of the core, one at a time.
+func (w *platformWatcher) watchDocuments(ctx context.Context) {
 	failing := false
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case r := <-w.requests.Out():
-			page, err := w.client.Documents(ctx, r.after, r.watch)
+		case request := <-w.requests.Out():
+			page, err := w.client.Documents(ctx, request.after, request.watch)
 			if ctx.Err() != nil {
 				return
 			}
-			// One line for each change of state: a platform that is down for
-			// long would fill the log otherwise.
+			// Only changes of state are logged, so that a long outage of the
+			// platform does not fill the log.
 			switch {
 			case err != nil && !failing:
-				w.log.Warn("platform-read-failed", "after", r.after, "error", err)
+				w.log.Warn("platform-read-failed", "after", request.after, "error", err)
 			case err == nil && failing:
 				w.log.Info("platform-read-recovered", "upto", page.Upto)
 			}
 			failing = err != nil
-			w.emit(event{config: &core.ConfigEvent{Documents: page.Documents, Revision: page.Upto, Err: err}})
+			w.pushEvent(controlEvent{config: &core.ConfigEvent{Documents: page.Documents, Revision: page.Upto, Err: err}})
 		}
 	}
 }
 
-// instances reads the list of instances at intervals.
-func (w *watcher) instances(ctx context.Context) {
+// pollInstances reads the instance list at intervals.
+func (w *platformWatcher) pollInstances(ctx context.Context) {
 	failing := false
 	for {
 		list, invalid, err := w.client.Instances(ctx)
@@ -67,7 +67,7 @@
 		case ctx.Err() != nil:
 			return
 		case err == nil:
-			w.emit(event{instances: &core.InstancesEvent{Instances: list}})
+			w.pushEvent(controlEvent{instances: &core.InstancesEvent{Instances: list}})
 			if failing {
 				w.log.Info("platform-list-recovered", "instances", len(list))
 			}
@@ -78,7 +78,7 @@
 			w.log.Warn("platform-list-invalid-entries", "entries", invalid)
 		}
 		failing = err != nil
-		timer := time.NewTimer(listEvery/2 + rand.N(listEvery))
+		timer := time.NewTimer(listInterval/2 + rand.N(listInterval))
 		select {
 		case <-ctx.Done():
 			timer.Stop()
