--- a/internal/flow/cache.go
+++ b/internal/flow/cache.go
@@ -6,63 +6,64 @@
 	"arbutusdock.example/arbutusdock/internal/ids"
 )
 
-// BlockKey identifies the transfer that follow-up blocks belong to.
+// BlockKey identifies a block-wise transfer (RFC 7959) to which follow-up blocks
+// belong.
 type BlockKey struct {
 	ids.FlowKey
 	Path uint64
 }
 
-// BlockRoute tells where block 0 was served: by Target of this instance, or by
+// BlockRoute records where block 0 was served: by a target of this instance, or by
 // another instance.
 type BlockRoute struct {
 	Target   ids.Target
 	Instance ids.Instance
 }
 
-// AckKey identifies a message to a caller that awaits an ACK.
+// AckKey identifies a message to a caller that has not been acknowledged yet.
 type AckKey struct {
 	ids.FlowKey
 	ID uint16
 }
 
-// Cache is a bounded map whose entries expire Lifetime after they were last
-// set. At Limit entries the oldest is dropped.
+// Cache is a bounded map whose entries expire Lifetime after they were last set. A
+// new key evicts the oldest entry when the map holds Limit entries.
 type Cache[K comparable, V any] struct {
 	Lifetime time.Duration
 	Limit    int
-	entries  map[K]cached[V]
-	order    []stamp[K] // ring in order of time
+	entries  map[K]cacheEntry[V]
+	order    []orderEntry[K] // ring buffer ordered by time
 	head     int
 	length   int
 }
 
-type cached[V any] struct {
+type cacheEntry[V any] struct {
 	value V
 	set   ids.Time
 }
 
-type stamp[K comparable] struct {
+type orderEntry[K comparable] struct {
 	key K
 	set ids.Time
 }
 
-// Set enters or refreshes the value of k.
+// Set stores v as the value of k and restarts the lifetime of the entry.
 func (c *Cache[K, V]) Set(now ids.Time, k K, v V) {
 	if c.entries == nil {
-		c.entries = make(map[K]cached[V])
+		c.entries = make(map[K]cacheEntry[V])
 	}
 	_, present := c.entries[k]
-	c.entries[k] = cached[V]{v, now}
+	c.entries[k] = cacheEntry[V]{v, now}
 	if present {
-		return // its stamp is renewed when it reaches the head
+		return // Evict renews its position in order when it reaches the head
 	}
 	for c.length >= c.Limit {
-		c.drop()
+		c.removeOldest()
 	}
-	c.push(stamp[K]{k, now})
+	c.appendOrder(orderEntry[K]{k, now})
 }
 
-// Get returns the value of k.
+// Get returns the value of k and whether an entry exists that has not expired.
 func (c *Cache[K, V]) Get(now ids.Time, k K) (V, bool) {
 	e, ok := c.entries[k]
 	if !ok || now.Sub(e.set) > c.Lifetime {
@@ -72,7 +73,7 @@
 	return e.value, true
 }
 
-// Evict removes expired entries, examining at most max.
+// Evict removes expired entries. It examines at most max entries.
 func (c *Cache[K, V]) Evict(now ids.Time, max int) {
 	for ; max > 0 && c.length > 0; max-- {
 		s := c.order[c.head]
@@ -80,26 +81,27 @@
 			return
 		}
 		e := c.entries[s.key]
-		c.drop()
+		c.removeOldest()
 		if e.set != s.set {
 			c.entries[s.key] = e
-			c.push(stamp[K]{s.key, e.set})
+			c.appendOrder(orderEntry[K]{s.key, e.set})
 		}
 	}
 }
 
-// Len returns the number of entries.
+// Len returns the number of entries, including expired ones that have not been
+// removed yet.
 func (c *Cache[K, V]) Len() int { return c.length }
 
-func (c *Cache[K, V]) drop() {
+func (c *Cache[K, V]) removeOldest() {
 	delete(c.entries, c.order[c.head].key)
 	c.head = (c.head + 1) % len(c.order)
 	c.length--
 }
 
-func (c *Cache[K, V]) push(s stamp[K]) {
+func (c *Cache[K, V]) appendOrder(s orderEntry[K]) {
 	if c.length == len(c.order) {
-		grown := make([]stamp[K], max(64, 2*len(c.order)))
+		grown := make([]orderEntry[K], max(64, 2*len(c.order)))
 		for i := range c.length {
 			grown[i] = c.order[(c.head+i)%len(c.order)]
 		}
--- a/internal/flow/flow_test.go
+++ b/internal/flow/flow_test.go
@@ -17,9 +17,9 @@
 	}
 }
 
-// Guards against an old notification replacing a newer one, across the wrap of
-// the 24-bit value too.
-func TestNewerRejectsReorderedNotifications(t *testing.T) {
+// An old notification must not replace a newer one, also when the 24-bit Observe value
+// wraps around.
+func TestAcceptIfNewerRejectsReorderedNotifications(t *testing.T) {
 	var u Upstream
 	assert.Assert(t, u.AcceptIfNewer(1, 1<<24-2))
 	assert.Assert(t, u.AcceptIfNewer(2, 1))
@@ -28,8 +28,8 @@
 	assert.Assert(t, u.AcceptIfNewer(ids.Time(129*time.Second), 0))
 }
 
-// Guards against a handover after which the caller sees older Observe values
-// or a message id that the old home still uses.
+// After a handover the caller must not receive older Observe values, or message ids
+// that the old home still uses.
 func TestHandoverIncreasesSequence(t *testing.T) {
 	old, next := NewTable(), NewTable()
 	f := old.Add(1, key(1), []byte{1})
@@ -45,7 +45,7 @@
 	id := g.NextID()
 	sequence := g.NextSequence()
 	for range 100 {
-		assert.Assert(t, sequenceNewer(f.NextSequence(), sequence))
+		assert.Assert(t, isNewerSequence(f.NextSequence(), sequence))
 		assert.Assert(t, f.NextID() != id)
 	}
 	h, fresh, err := next.AcceptHandover(3, m)
@@ -56,26 +56,26 @@
 	assert.Assert(t, err != nil)
 }
 
-// Guards against a sweep that skips or repeats feeds when some are removed.
+// Sweep must visit each feed exactly once when visit removes some of them.
 func TestSweepVisitsEachFeed(t *testing.T) {
-	tab := NewTable()
+	table := NewTable()
 	for n := range byte(9) {
-		tab.Add(1, key(n), nil)
+		table.Add(1, key(n), nil)
 	}
 	seen := map[byte]int{}
-	tab.Sweep(9, func(f *Feed) {
+	table.Sweep(9, func(f *Feed) {
 		seen[f.Token.Bytes[0]]++
 		if f.Token.Bytes[0]%2 == 0 {
-			tab.Remove(f)
+			table.Remove(f)
 		}
 	})
 	assert.Equal(t, len(seen), 9)
-	assert.Equal(t, tab.Len(), 4)
-	assert.Assert(t, tab.HasFlow(key(1).FlowKey))
+	assert.Equal(t, table.Len(), 4)
+	assert.Assert(t, table.HasFlow(key(1).FlowKey))
 }
 
-// Guards against a cache that grows without bound, and against the expiry of
-// a route that is in use.
+// The cache must not grow beyond its limit, and an entry that is set again must not
+// expire.
 func TestCacheIsBoundedAndRefreshed(t *testing.T) {
 	c := Cache[int, string]{Lifetime: 10, Limit: 100}
 	for i := range 1000 {
--- a/internal/flow/handover.go
+++ b/internal/flow/handover.go
@@ -9,13 +9,13 @@
 	"github.com/rotisserie/eris"
 )
 
-// Errors of handover records.
+// Errors returned for invalid handover records.
 var (
 	ErrToken   = eris.New("feed handover: token longer than 8 bytes")
-	ErrRequest = eris.New("feed handover: registration missing")
+	ErrRequest = eris.New("feed handover: registration request missing")
 )
 
-// Move returns the handover record of f.
+// HandoverRecord returns the record that hands f over to another instance.
 func (f *Feed) HandoverRecord() *peerwire.FeedMove {
 	return &peerwire.FeedMove{
 		Service:  f.Service,
@@ -28,16 +28,17 @@
 	}
 }
 
-// Moved returns the reply to the old home of the feed with key k.
+// HandoverReply returns the reply to the old home of the feed with key k. refused
+// means that the handover was rejected.
 func HandoverReply(k Key, refused bool) *peerwire.FeedMoved {
 	return &peerwire.FeedMoved{Service: k.Service, Caller: k.Caller.String(), Token: tokenBytes(k.Token), Refused: refused}
 }
 
-// ParseKey returns the key of a feed in a handover record.
+// ParseKey returns the key of a feed from the fields of a handover record.
 func ParseKey(service ids.Service, caller string, token []byte) (Key, error) {
 	e, err := netip.ParseAddrPort(caller)
 	if err != nil {
-		return Key{}, eris.Wrap(err, "feed handover: caller")
+		return Key{}, eris.Wrap(err, "feed handover: invalid caller address")
 	}
 	k := Key{FlowKey: ids.FlowKey{Caller: e, Service: service}}
 	if len(token) > len(k.Token.Bytes) {
@@ -47,9 +48,10 @@
 	return k, nil
 }
 
-// Take enters the feed that m hands over. If the feed exists already, as after
-// two homes held it, its sequence is raised above that of the other.
-func (t *Table) AcceptHandover(now ids.Time, m *peerwire.FeedMove) (f *Feed, fresh bool, err error) {
+// AcceptHandover adds the feed that m hands over, and reports whether it is new. The
+// feed may exist already if two instances held it; its Observe sequence is then
+// raised above that of the other instance.
+func (t *Table) AcceptHandover(now ids.Time, m *peerwire.FeedMove) (f *Feed, created bool, err error) {
 	k, err := ParseKey(m.Service, m.Caller, m.Token)
 	if err != nil {
 		return nil, false, err
@@ -59,16 +61,17 @@
 	}
 	sequence := (m.Sequence + SequenceGap) & sequenceMask
 	if f = t.feeds[k]; f != nil {
-		if sequenceNewer(f.Sequence, sequence) {
+		if isNewerSequence(f.Sequence, sequence) {
 			f.Sequence = sequence
 		}
 		return f, false, nil
 	}
-	first := !t.HasFlow(k.FlowKey)
+	firstOfFlow := !t.HasFlow(k.FlowKey)
 	f = t.Add(now, k, m.Request)
 	f.Sequence = sequence
-	if first {
-		// The old home may use ids of its sequence until FeedMoved arrives.
+	if firstOfFlow {
+		// The old home may continue to use its sequence of message ids until it
+		// receives FeedMoved.
 		f.flow.nextID = (m.NextID + SequenceGap) & idMask
 	}
 	return f, true, nil
--- a/internal/flow/table.go
+++ b/internal/flow/table.go
@@ -2,46 +2,46 @@
 
 import "arbutusdock.example/arbutusdock/internal/ids"
 
-// Table holds the feeds of one home. Sweep visits them in a fixed order, so
-// that decisions do not depend on the iteration order of a map.
+// Table holds the feeds of one instance. Sweep visits them in a fixed order, so that
+// decisions do not depend on map iteration order.
 type Table struct {
 	feeds  map[Key]*Feed
-	flows  map[ids.FlowKey]*shared
+	flows  map[ids.FlowKey]*flowState
 	list   []*Feed
 	cursor int
 }
 
 // NewTable returns an empty table.
 func NewTable() *Table {
-	return &Table{feeds: make(map[Key]*Feed), flows: make(map[ids.FlowKey]*shared)}
+	return &Table{feeds: make(map[Key]*Feed), flows: make(map[ids.FlowKey]*flowState)}
 }
 
 // Len returns the number of feeds.
 func (t *Table) Len() int { return len(t.list) }
 
-// Get returns the feed with key k, nil when there is none.
+// Get returns the feed with key k, or nil.
 func (t *Table) Get(k Key) *Feed { return t.feeds[k] }
 
-// Has reports whether a feed of the flow exists.
+// HasFlow reports whether a feed of the flow exists.
 func (t *Table) HasFlow(k ids.FlowKey) bool { return t.flows[k] != nil }
 
-// Add enters a feed for the registration datagram request, which it copies.
-// No feed with key k may exist.
+// Add adds a feed with key k, which must not be in the table. request is the
+// datagram of the registration request; Add copies it.
 func (t *Table) Add(now ids.Time, k Key, request []byte) *Feed {
 	f := &Feed{Key: k, Request: append([]byte(nil), request...), index: len(t.list), Created: now, LastNotification: now, LastConfirmable: now}
-	s := t.flows[k.FlowKey]
-	if s == nil {
-		s = &shared{nextID: startID(now)}
-		t.flows[k.FlowKey] = s
+	state := t.flows[k.FlowKey]
+	if state == nil {
+		state = &flowState{nextID: initialID(now)}
+		t.flows[k.FlowKey] = state
 	}
-	s.feeds++
-	f.flow = s
+	state.feeds++
+	f.flow = state
 	t.feeds[k] = f
 	t.list = append(t.list, f)
 	return f
 }
 
-// Remove removes a feed.
+// Remove removes f if it is in the table.
 func (t *Table) Remove(f *Feed) {
 	if t.feeds[f.Key] != f {
 		return
@@ -58,8 +58,7 @@
 }
 
 // Sweep calls visit for the next n feeds, at most once per feed unless feeds are
-// removed meanwhile. visit
-// may remove the feed that it is called with.
+// removed during the sweep. visit may remove the feed that it is called with.
 func (t *Table) Sweep(n int, visit func(*Feed)) {
 	for n = min(n, len(t.list)); n > 0 && len(t.list) > 0; n-- {
 		if t.cursor >= len(t.list) {
--- a/internal/ids/ids.go
+++ b/internal/ids/ids.go
@@ -1,5 +1,5 @@
-// Package ids holds the typed identifiers and the clock type that the other
-// packages share.
+// Package ids defines the identifier types and the time type that are shared by the
+// other packages.
 package ids
 
 import (
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Instance is the configured name of an entry instance, unique in the fleet.
+// Instance is the configured name of a load balancer instance, unique in the fleet.
 type Instance string
 
 // DataCentre is the configured name of a data centre.
@@ -16,19 +16,18 @@
 // Service is the published name of a service.
 type Service string
 
-// Partner is the name of a partner in a profile.
+// Partner is the name of a partner in a configuration profile.
 type Partner string
 
-// Target is the published name of a backend server target, unique within its
-// service.
+// Target is the published name of a backend server, unique within its service.
 type Target string
 
-// Incarnation identifies one run of an instance. A later run of the same
-// instance has a higher incarnation.
+// Incarnation identifies one process lifetime of an instance. It increases with each
+// restart.
 type Incarnation uint64
 
-// Revision numbers a publication on the platform. It starts at 1; 0 means that
-// nothing has been published.
+// Revision is the sequence number of a publication on the platform. It starts at 1;
+// 0 means that nothing has been published.
 type Revision uint64
 
 // Endpoint is the UDP address of a caller, a backend server or an instance.
@@ -47,7 +46,7 @@
 // Before reports whether t is earlier than u.
 func (t Time) Before(u Time) bool { return t < u }
 
-// FlowKey identifies a flow: a caller endpoint at a service.
+// FlowKey identifies a flow by the endpoint of the caller and the service.
 type FlowKey struct {
 	Caller  Endpoint
 	Service Service
--- a/internal/ids/ids_test.go
+++ b/internal/ids/ids_test.go
@@ -6,21 +6,21 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a ranking that moves keys between surviving nodes when one
-// node leaves.
+// Removing a node must only move the keys of that node, not keys between the
+// remaining nodes.
 func TestRankMovesOnlyKeysOfRemovedNode(t *testing.T) {
 	nodes := []uint64{Hash("a"), Hash("b"), Hash("c"), Hash("d"), Hash("e")}
-	rest := append(append([]uint64{}, nodes[:2]...), nodes[3:]...)
+	remaining := append(append([]uint64{}, nodes[:2]...), nodes[3:]...)
 	for k := uint64(0); k < 1000; k++ {
 		before := nodes[Rank(nil, nodes, Hash(string(rune(k))), 1)[0]]
-		after := rest[Rank(nil, rest, Hash(string(rune(k))), 1)[0]]
+		after := remaining[Rank(nil, remaining, Hash(string(rune(k))), 1)[0]]
 		if before != nodes[2] {
 			assert.Equal(t, before, after)
 		}
 	}
 }
 
-// Guards against one node taking far more than its share of the keys.
+// Every node must get about the same share of the keys.
 func TestRankSpreadsEvenly(t *testing.T) {
 	nodes := []uint64{Hash("a"), Hash("b"), Hash("c"), Hash("d"), Hash("e")}
 	count := make([]int, len(nodes))
--- a/internal/ids/rendezvous.go
+++ b/internal/ids/rendezvous.go
@@ -5,8 +5,8 @@
 // Hash returns the 64-bit xxHash of s.
 func Hash(s string) uint64 { return xxhash.Sum64String(s) }
 
-// Mix combines two hashes into one whose bits depend on all bits of both. It
-// is the finalizer of SplitMix64 over their combination and does not allocate.
+// Mix combines two hashes into one whose bits depend on all bits of both. It applies
+// the SplitMix64 finalizer to a combination of them and does not allocate.
 func Mix(a, b uint64) uint64 {
 	z := a ^ (b*0x9e3779b97f4a7c15 + 0x7f4a7c15)
 	z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9
@@ -14,7 +14,7 @@
 	return z ^ (z >> 31)
 }
 
-// HashEndpoint returns a hash of the address and port of e without allocation.
+// HashEndpoint returns a hash of the address and port of e. It does not allocate.
 func HashEndpoint(e Endpoint) uint64 {
 	a := e.Addr().As16()
 	var b [18]byte
@@ -23,10 +23,10 @@
 	return xxhash.Sum64(b[:])
 }
 
-// Rank orders the indexes of nodes by rendezvous weight for key, highest
-// first, and appends the first n of them to dst. Ties are broken by index, so
-// all callers that hold the same sorted nodes get the same order. It costs
-// n passes over nodes, which is cheapest for the small n used here.
+// Rank orders the indexes of nodes by their rendezvous weight for key (highest random
+// weight hashing), highest first, and appends the first n of them to dst. Ties are
+// broken by index, so the result is the same wherever nodes are sorted in the same
+// order. It makes n passes over nodes, which is the cheapest way for small n.
 func Rank(dst []int, nodes []uint64, key uint64, n int) []int {
 	start := len(dst)
 	for len(dst)-start < n && len(dst)-start < len(nodes) {
