--- a/internal/flow/feed.go
+++ b/internal/flow/feed.go
@@ -31,9 +31,9 @@
 	// does not use the message id of a notification that another instance sends
 	// to the same caller.
 	idMask = 1<<15 - 1
-	// messageIDInterval is the interval after which the initial message id, which is derived
-	// from the time, increases by one. 2^15 intervals exceed EXCHANGE_LIFETIME
-	// (247 s).
+	// messageIDInterval is the interval after which the initial message id, which
+	// is derived from the time, increases by one. 2^15 intervals exceed
+	// EXCHANGE_LIFETIME (247 s).
 	messageIDInterval = 8 * time.Millisecond
 	// reorderWindow is the time since the last notification after which the next
 	// one counts as newer regardless of its Observe value (RFC 7641 section 3.4).
@@ -52,10 +52,10 @@
 	Token            uint64
 	Target           ids.Target
 	Endpoint         ids.Endpoint
-	ID               uint16 // message id of the registration request
-	Established      bool   // a notification has been received
-	Acked            bool   // the backend server is known to have received the registration
-	CreatedAt        ids.Time
+	ID               uint16   // message id of the registration request
+	Established      bool     // a notification has been received
+	Acked            bool     // the backend server is known to have received the registration
+	CreatedAt        ids.Time // when the first registration request was prepared
 	LastSent         ids.Time // time of the last transmission of the registration request
 	Transmissions    int
 	lastObserve      uint32
@@ -101,15 +101,15 @@
 	Active               Upstream
 	Next                 Upstream // registration that will replace Active once it is established
 	Pending              Pending
-	Sequence             uint32 // last Observe value sent to the caller
-	LastNotification     ids.Time
-	MaxAge               time.Duration
-	Reregistrations      int // registrations at backend servers repeated since the last notification
-	UnackedNotifications int // consecutive confirmable notifications without an ACK
-	RetryAt              ids.Time
-	MovingTo             ids.Instance // new home to which a handover was sent
-	MoveSentAt           ids.Time     // when the handover was last sent
-	MovedFrom            ids.Instance // old home that waits for a FeedMoved reply
+	Sequence             uint32        // last Observe value sent to the caller
+	LastNotification     ids.Time      // time of the last notification from a backend server; at first the creation time
+	MaxAge               time.Duration // Max-Age of the last notification
+	Reregistrations      int           // registrations at backend servers repeated since the last notification
+	UnackedNotifications int           // consecutive confirmable notifications without an ACK
+	RetryAt              ids.Time      // earliest time of the next registration attempt
+	MovingTo             ids.Instance  // new home to which a handover was sent
+	MoveSentAt           ids.Time      // when the handover was last sent
+	MovedFrom            ids.Instance  // old home that waits for a FeedMoved reply
 	Created              ids.Time
 	LastConfirmable      ids.Time // time of the last confirmable notification
 	flow                 *flowState
--- a/internal/passthrough/choose.go
+++ b/internal/passthrough/choose.go
@@ -74,7 +74,7 @@
 }
 
 // compareCandidates compares up to sample candidates from list and updates s. It
-// adds extra to their load.
+// adds penalty to their load.
 func (c *Core) compareCandidates(now ids.Time, s *selection, list []*target, sample int, avoid *target, penalty float64) {
 	n := min(len(list), sample)
 	start := c.randomIndex(len(list)) // random start, so that ties do not always favour the first target
--- a/internal/passthrough/core.go
+++ b/internal/passthrough/core.go
@@ -53,7 +53,7 @@
 // Verdict is the action to take on a packet.
 type Verdict uint8
 
-// Verdicts.
+// Possible verdicts on a packet.
 const (
 	Drop Verdict = iota
 	Forward
@@ -63,7 +63,7 @@
 // Reason is the cause of a decision.
 type Reason uint8
 
-// Reasons.
+// Possible reasons of a decision.
 const (
 	KnownCookie       Reason = iota // the cookie identifies the target
 	Placed                          // a new flow was placed on a target
@@ -97,7 +97,7 @@
 	Identity       uint64
 	Cookie         Cookie
 	Target         string      // name of the target, for logs
-	Service        ids.Service // for logs
+	Service        ids.Service // service of the target, for logs
 	ActiveRequests int         // active requests of this instance at the target before this decision
 	Remote         bool        // the target is in another data centre
 	Adopted        bool        // the flow had no entry in the flow table: another instance forwarded its earlier packets
--- a/internal/passthrough/core_test.go
+++ b/internal/passthrough/core_test.go
@@ -168,7 +168,7 @@
 // Target records expire during an outage of the platform. After the outage, targets
 // stay in use for recordGracePeriod; those that have not published their record
 // again by then are removed.
-func TestLapsedRecords(t *testing.T) {
+func TestExpiredRecords(t *testing.T) {
 	c := testCore()
 	c.PlatformRecovered(startTime)
 	c.RemoveTarget(startTime.Add(100*ms), "counter-1")
--- a/internal/passthrough/learn.go
+++ b/internal/passthrough/learn.go
@@ -11,10 +11,10 @@
 	// recordGracePeriod is the time after an outage of the platform within which a
 	// live target whose record expired has published it again.
 	recordGracePeriod = 2 * time.Second
-	// sweepInterval is the interval at which a part of the flow table is checked
-	// for idle flows. Each time 1/sweepFraction of the table is checked.
+	// sweepInterval is the interval at which one part of the flow table is checked
+	// for idle flows. sweepParts is the number of parts.
 	sweepInterval = 100 * time.Millisecond
-	sweepFraction = 16
+	sweepParts    = 16
 )
 
 // SetInstances sets the number of instances that share the callers of the data
@@ -155,7 +155,7 @@
 	if n == 0 {
 		return
 	}
-	for range (n + sweepFraction - 1) / sweepFraction {
+	for range (n + sweepParts - 1) / sweepParts {
 		c.flows.sweepIndex = (c.flows.sweepIndex + 1) % n
 		f := &c.flows.slots[c.flows.sweepIndex]
 		if f.state == flowFree {
--- a/internal/passthrough/load_test.go
+++ b/internal/passthrough/load_test.go
@@ -17,7 +17,7 @@
 // outcomes that callers get. Each test simulates one load or failure pattern.
 
 const (
-	simSlots         = 2
+	simSlots         = 2               // requests that a target runs concurrently
 	simQueueLimit    = 8               // queue length from which a target rejects requests
 	simMeanRunTime   = 28 * ms         // mean run time of a request
 	simLatencyGoal   = 150 * ms        // a request that takes longer is late
@@ -66,12 +66,12 @@
 		s := newSimulation(seed, instances, targets)
 		setup(s)
 		for {
-			at, do, ok := s.events.Next(startTime.Add(time.Hour))
+			eventTime, event, ok := s.events.Next(startTime.Add(time.Hour))
 			if !ok {
 				break
 			}
-			s.now = at
-			do()
+			s.now = eventTime
+			event()
 		}
 		sum.requests += s.requests
 		sum.late += s.late
@@ -166,25 +166,25 @@
 }
 
 // open sends an opening packet and up to two copies until one is answered.
-func (s *simulation) open(c *Core, f FlowKey, number uint32, then func(Decision)) {
+func (s *simulation) open(c *Core, f FlowKey, copyNumber uint32, onAnswer func(Decision)) {
 	c.Tick(s.now)
-	d := c.HandlePacket(s.now, openingPacket(f, number))
+	d := c.HandlePacket(s.now, openingPacket(f, copyNumber))
 	if d.Remote {
 		s.remoteFlows++
 	}
 	if t := s.targets[d.Target]; d.Verdict == Forward && !t.silent && !s.randomBool(t.lossShare) {
-		if number > 0 {
+		if copyNumber > 0 {
 			s.delayedOpenings++
 		}
-		s.schedule(2*simOneWayDelay, func() { then(d) })
+		s.schedule(2*simOneWayDelay, func() { onAnswer(d) })
 		return
 	}
-	if number == 2 {
+	if copyNumber == 2 {
 		s.requests++
 		s.unanswered++
 		return
 	}
-	s.schedule([]time.Duration{200 * ms, 400 * ms}[number], func() { s.open(c, f, number+1, then) })
+	s.schedule([]time.Duration{200 * ms, 400 * ms}[copyNumber], func() { s.open(c, f, copyNumber+1, onAnswer) })
 }
 
 // request sends a request and simulates its execution at the target.
@@ -193,8 +193,8 @@
 	c.HandlePacket(s.now, &Packet{Flow: f, Flags: ACK, Cookie: d.Cookie, Seq: seq, Ack: ack, Length: 50})
 	t := s.targets[d.Target]
 	work := time.Duration(float64(simMeanRunTime) * math.Exp(0.5*s.rng.NormFloat64()-0.125))
-	tailed := s.rng.Float64() < simLongRunShare
-	if tailed {
+	longRun := s.rng.Float64() < simLongRunShare
+	if longRun {
 		work *= simLongRunFactor
 		s.longRuns++
 	}
@@ -204,7 +204,7 @@
 	answer := func() {
 		s.schedule(simOneWayDelay, func() {
 			c.HandlePacket(s.now, &Packet{Flow: f, Flags: ACK, Cookie: d.Cookie, Seq: seq + 50, Ack: ack + 800})
-			if s.now.Sub(begin) > simLatencyGoal && !tailed {
+			if s.now.Sub(begin) > simLatencyGoal && !longRun {
 				s.late++
 			}
 			done()
@@ -215,9 +215,9 @@
 		s.schedule(work, func() {
 			t.running--
 			if len(t.queue) > 0 {
-				first := t.queue[0]
+				queued := t.queue[0]
 				t.queue = t.queue[1:]
-				first()
+				queued()
 			}
 			if s.randomBool(t.failureShare) {
 				s.failed++ // the target sends its reset directly to the caller
@@ -260,10 +260,10 @@
 		s.requests, s.late, s.rejected, s.avoidableRejections, s.unanswered, s.delayedOpenings, s.failed, s.longRuns, s.remoteFlows)
 }
 
-// assertShare asserts that n is at most the share most of all requests.
-func (s *simulation) assertShare(t *testing.T, what string, n int, most float64) {
+// assertShare asserts that n is at most the share limit of all requests.
+func (s *simulation) assertShare(t *testing.T, what string, n int, limit float64) {
 	t.Helper()
-	assert.Assert(t, float64(n) <= most*float64(s.requests), "%s above %g%%: %s", what, 100*most, s)
+	assert.Assert(t, float64(n) <= limit*float64(s.requests), "%s above %g%%: %s", what, 100*limit, s)
 }
 
 func constantRate(rate float64) func(time.Duration) float64 {
--- a/internal/passthrough/target.go
+++ b/internal/passthrough/target.go
@@ -37,7 +37,7 @@
 	retransmits      int      // packets with retransmitted data since lastAlive
 	// retryAt is the time from which a suspected target may get a flow again.
 	retryAt   ids.Time
-	retries   int // flows placed on it while suspected, and suspicions, since lastAlive
+	retries   int // number of calls of scheduleRetry since lastAlive
 	lastAlive ids.Time
 
 	activeRequests int // active requests from this instance
