--- a/internal/flow/cache.go
+++ b/internal/flow/cache.go
@@ -10,7 +10,7 @@
 // belong.
 type BlockKey struct {
 	ids.FlowKey
-	Path uint64
+	Path uint64 // hash of the Uri-Path options
 }
 
 // BlockRoute records where block 0 was served: by a target of this instance, or by
@@ -39,12 +39,13 @@
 
 type cacheEntry[V any] struct {
 	value V
-	set   ids.Time
+	setAt ids.Time
 }
 
+// orderEntry records when a key was set. The key may have been set again since.
 type orderEntry[K comparable] struct {
-	key K
-	set ids.Time
+	key   K
+	setAt ids.Time
 }
 
 // Set stores v as the value of k and restarts the lifetime of the entry.
@@ -66,7 +67,7 @@
 // Get returns the value of k and whether an entry exists that has not expired.
 func (c *Cache[K, V]) Get(now ids.Time, k K) (V, bool) {
 	e, ok := c.entries[k]
-	if !ok || now.Sub(e.set) > c.Lifetime {
+	if !ok || now.Sub(e.setAt) > c.Lifetime {
 		var none V
 		return none, false
 	}
@@ -76,15 +77,15 @@
 // Evict removes expired entries. It examines at most max entries.
 func (c *Cache[K, V]) Evict(now ids.Time, max int) {
 	for ; max > 0 && c.length > 0; max-- {
-		s := c.order[c.head]
-		if now.Sub(s.set) <= c.Lifetime {
+		oldest := c.order[c.head]
+		if now.Sub(oldest.setAt) <= c.Lifetime {
 			return
 		}
-		e := c.entries[s.key]
+		e := c.entries[oldest.key]
 		c.removeOldest()
-		if e.set != s.set {
-			c.entries[s.key] = e
-			c.appendOrder(orderEntry[K]{s.key, e.set})
+		if e.setAt != oldest.setAt {
+			c.entries[oldest.key] = e
+			c.appendOrder(orderEntry[K]{oldest.key, e.setAt})
 		}
 	}
 }
--- a/internal/passthrough/config.go
+++ b/internal/passthrough/config.go
@@ -40,10 +40,10 @@
 // routeTable holds the routes of the active configuration version. It never
 // reverts to an older version.
 type routeTable struct {
-	version uint64
-	idle    time.Duration
-	routes  map[Endpoint]*Route
-	health  map[ids.Service]string
+	version     uint64
+	idleTimeout time.Duration
+	routes      map[Endpoint]*Route
+	health      map[ids.Service]string
 }
 
 // apply activates c and returns true if c is newer than the active version.
@@ -51,7 +51,7 @@
 	if t.routes != nil && c.Version <= t.version {
 		return false
 	}
-	t.version, t.idle, t.health = c.Version, c.IdleTimeout, c.Health
+	t.version, t.idleTimeout, t.health = c.Version, c.IdleTimeout, c.Health
 	t.routes = make(map[Endpoint]*Route, len(c.Routes))
 	for i := range c.Routes {
 		t.routes[c.Routes[i].Address] = &c.Routes[i]
--- a/internal/passthrough/inspect.go
+++ b/internal/passthrough/inspect.go
@@ -69,7 +69,8 @@
 func (v Verdict) String() string { return verdictNames[v] }
 
 // Explain returns the decision that a packet of a flow would get now. A cookie of
-// 0 stands for the opening packet of a new flow.
+// 0 stands for the opening packet of a new flow. The random state is restored, so
+// that the call does not influence later choices.
 func (c *Core) Explain(now ids.Time, flow FlowKey, cookie Cookie) Explanation {
 	e := Explanation{Version: c.routes.version, Verdict: Drop.String()}
 	set := func(v Verdict, r Reason) { e.Verdict, e.Reason = v.String(), r.String() }
@@ -100,9 +101,9 @@
 				e.Candidates = append(e.Candidates, c.targetState(now, t))
 			}
 		}
-		random := c.rngState
+		savedState := c.rngState
 		t := c.choose(now, e.Service, nil, c.hasLongFlows(flow.Service))
-		c.rngState = random
+		c.rngState = savedState
 		if t == nil {
 			set(Drop, NoTarget)
 			break
--- a/internal/passthrough/learn.go
+++ b/internal/passthrough/learn.go
@@ -162,7 +162,7 @@
 			continue
 		}
 		idle := now.Sub(f.lastSeen)
-		if idle > c.routes.idle && c.routes.idle > 0 || idle > c.settings.FlowLifetime || (f.state == flowOpening && idle > maxOpeningAge) {
+		if idle > c.routes.idleTimeout && c.routes.idleTimeout > 0 || idle > c.settings.FlowLifetime || (f.state == flowOpening && idle > maxOpeningAge) {
 			c.removeFlow(f)
 			continue
 		}
--- a/internal/passthrough/pool.go
+++ b/internal/passthrough/pool.go
@@ -50,6 +50,7 @@
 	t.pool = nil
 }
 
+// members returns the list of the pool to which t belongs.
 func (p *pool) members(t *target) *[]*target {
 	if t.local {
 		return &p.local
--- a/internal/passthrough/random_test.go
+++ b/internal/passthrough/random_test.go
@@ -25,90 +25,90 @@
 }
 
 func newModel(t *rapid.T) *model {
-	w := &model{t: t, now: startTime, opened: map[FlowKey]Decision{}}
+	m := &model{t: t, now: startTime, opened: map[FlowKey]Decision{}}
 	for i := range 3 {
-		w.cores = append(w.cores, New(Settings{DataCentre: []ids.DataCentre{"a", "b", "b"}[i], MaxFlows: 64, FlowLifetime: time.Hour, Seed: uint64(i)}))
-		w.usable = append(w.usable, map[string]TargetRecord{})
-		w.removed = append(w.removed, map[string]bool{})
-		w.version = append(w.version, 0)
-		w.droppedRoutes = append(w.droppedRoutes, map[Endpoint]bool{})
+		m.cores = append(m.cores, New(Settings{DataCentre: []ids.DataCentre{"a", "b", "b"}[i], MaxFlows: 64, FlowLifetime: time.Hour, Seed: uint64(i)}))
+		m.usable = append(m.usable, map[string]TargetRecord{})
+		m.removed = append(m.removed, map[string]bool{})
+		m.version = append(m.version, 0)
+		m.droppedRoutes = append(m.droppedRoutes, map[Endpoint]bool{})
 	}
-	return w
+	return m
 }
 
-func (w *model) drawCore() int { return rapid.IntRange(0, len(w.cores)-1).Draw(w.t, "instance") }
+func (m *model) drawCore() int { return rapid.IntRange(0, len(m.cores)-1).Draw(m.t, "instance") }
 
-func (w *model) putTarget() {
-	i := w.drawCore()
-	n := rapid.IntRange(1, 8).Draw(w.t, "target")
+func (m *model) putTarget() {
+	i := m.drawCore()
+	n := rapid.IntRange(1, 8).Draw(m.t, "target")
 	r := testRecord(n, []ids.Service{"counter", "slips"}[n%2], []ids.DataCentre{"a", "b"}[n/2%2])
-	r.Draining = rapid.Bool().Draw(w.t, "draining")
-	w.cores[i].PutTarget(w.now, &r)
-	delete(w.removed[i], r.Name)
-	delete(w.usable[i], r.Name)
+	r.Draining = rapid.Bool().Draw(m.t, "draining")
+	m.cores[i].PutTarget(m.now, &r)
+	delete(m.removed[i], r.Name)
+	delete(m.usable[i], r.Name)
 	if !r.Draining {
-		w.usable[i][r.Name] = r
+		m.usable[i][r.Name] = r
 	}
 }
 
-func (w *model) removeTarget() {
-	i := w.drawCore()
-	n := rapid.IntRange(1, 8).Draw(w.t, "target")
+func (m *model) removeTarget() {
+	i := m.drawCore()
+	n := rapid.IntRange(1, 8).Draw(m.t, "target")
 	name := testRecord(n, []ids.Service{"counter", "slips"}[n%2], "a").Name
-	w.cores[i].RemoveTarget(w.now, name)
-	if _, ok := w.cores[i].targets.byName[name]; ok {
-		w.removed[i][name] = true
+	m.cores[i].RemoveTarget(m.now, name)
+	if _, ok := m.cores[i].targets.byName[name]; ok {
+		m.removed[i][name] = true
 	}
-	delete(w.usable[i], name)
+	delete(m.usable[i], name)
 }
 
-func (w *model) applyConfig() {
-	i := w.drawCore()
-	c := testConfig(uint64(rapid.IntRange(1, 9).Draw(w.t, "version")))
-	if rapid.Bool().Draw(w.t, "drop") {
+func (m *model) applyConfig() {
+	i := m.drawCore()
+	c := testConfig(uint64(rapid.IntRange(1, 9).Draw(m.t, "version")))
+	if rapid.Bool().Draw(m.t, "drop") {
 		c.Routes = c.Routes[:1]
 	}
-	accepted := w.cores[i].ApplyConfig(c)
-	if accepted != (c.Version > w.version[i]) {
-		w.t.Fatalf("version %d after %d: accepted %v", c.Version, w.version[i], accepted)
+	accepted := m.cores[i].ApplyConfig(c)
+	if accepted != (c.Version > m.version[i]) {
+		m.t.Fatalf("version %d after %d: accepted %v", c.Version, m.version[i], accepted)
 	}
 	if accepted {
-		w.version[i] = c.Version
-		w.droppedRoutes[i] = map[Endpoint]bool{slipsAddress: len(c.Routes) == 1}
+		m.version[i] = c.Version
+		m.droppedRoutes[i] = map[Endpoint]bool{slipsAddress: len(c.Routes) == 1}
 	}
-	if w.cores[i].Version() != w.version[i] {
-		w.t.Fatalf("version %d instead of %d", w.cores[i].Version(), w.version[i])
+	if m.cores[i].Version() != m.version[i] {
+		m.t.Fatalf("version %d instead of %d", m.cores[i].Version(), m.version[i])
 	}
 }
 
 // openFlow sends an opening packet to one core. It must be forwarded to a usable
 // target of the route's service, or dropped or reset if there is none.
-func (w *model) openFlow() {
-	i := w.drawCore()
-	to := []Endpoint{counterAddress, slipsAddress}[rapid.IntRange(0, 1).Draw(w.t, "route")]
+func (m *model) openFlow() {
+	i := m.drawCore()
+	to := []Endpoint{counterAddress, slipsAddress}[rapid.IntRange(0, 1).Draw(m.t, "route")]
 	service := ids.Service("counter")
 	if to == slipsAddress {
 		service = "slips"
 	}
-	w.nextFlow++
-	f := testFlow(w.nextFlow, to)
-	d := w.cores[i].HandlePacket(w.now, openingPacket(f, 0))
+	m.nextFlow++
+	f := testFlow(m.nextFlow, to)
+	d := m.cores[i].HandlePacket(m.now, openingPacket(f, 0))
 	switch {
-	case w.version[i] == 0:
-		assert.Equal(w.t, d.Verdict, Drop)
-	case w.droppedRoutes[i][to]:
-		assert.Equal(w.t, d.Reason, NoRoute)
-		assert.Equal(w.t, d.Verdict, Reset)
+	case m.version[i] == 0:
+		assert.Equal(m.t, d.Verdict, Drop)
+	case m.droppedRoutes[i][to]:
+		assert.Equal(m.t, d.Reason, NoRoute)
+		assert.Equal(m.t, d.Verdict, Reset)
 	case d.Verdict == Forward:
-		r, ok := w.usable[i][d.Target]
-		assert.Assert(w.t, ok, "target %s is draining, gone or unknown", d.Target)
-		assert.Equal(w.t, r.Service, service)
-		w.cores[i].HandlePacket(w.now.Add(ms), requestPacket(f, d.Cookie))
-		w.opened[f] = d
+		r, ok := m.usable[i][d.Target]
+		assert.Assert(m.t, ok, "target %s is draining, gone or unknown", d.Target)
+		assert.Equal(m.t, r.Service, service)
+		m.cores[i].HandlePacket(m.now.Add(ms), requestPacket(f, d.Cookie))
+		m.opened[f] = d
 	default:
-		assert.Equal(w.t, d.Reason, NoTarget)
-		for _, r := range w.usable[i] {
-			assert.Assert(w.t, r.Service != service, "target %s was free", r.Name)
+		assert.Equal(m.t, d.Reason, NoTarget)
+		for _, r := range m.usable[i] {
+			assert.Assert(m.t, r.Service != service, "target %s was free", r.Name)
 		}
 	}
 }
@@ -116,30 +116,30 @@
 // sendPacket sends a packet of an open flow through any core. It must be forwarded to
 // the target of the flow or dropped. It may be reset only if the route or the target
 // was removed.
-func (w *model) sendPacket() {
-	for f, d := range w.opened {
-		i := w.drawCore()
-		p := &Packet{Flow: f, Flags: ACK, Cookie: d.Cookie, Seq: uint32(rapid.IntRange(101, 400).Draw(w.t, "seq")),
-			Ack: uint32(rapid.IntRange(501, 900).Draw(w.t, "ack")), Length: rapid.IntRange(0, 100).Draw(w.t, "length")}
-		got := w.cores[i].HandlePacket(w.now, p)
+func (m *model) sendPacket() {
+	for f, d := range m.opened {
+		i := m.drawCore()
+		p := &Packet{Flow: f, Flags: ACK, Cookie: d.Cookie, Seq: uint32(rapid.IntRange(101, 400).Draw(m.t, "seq")),
+			Ack: uint32(rapid.IntRange(501, 900).Draw(m.t, "ack")), Length: rapid.IntRange(0, 100).Draw(m.t, "length")}
+		got := m.cores[i].HandlePacket(m.now, p)
 		switch got.Verdict {
 		case Forward:
-			assert.Equal(w.t, got.Identity, d.Identity)
+			assert.Equal(m.t, got.Identity, d.Identity)
 		case Reset:
-			dropped := w.version[i] != 0 && w.droppedRoutes[i][f.Service]
-			assert.Assert(w.t, dropped || (got.Reason == TargetGone && w.removed[i][d.Target]), "reset of an open flow")
+			dropped := m.version[i] != 0 && m.droppedRoutes[i][f.Service]
+			assert.Assert(m.t, dropped || (got.Reason == TargetGone && m.removed[i][d.Target]), "reset of an open flow")
 		default:
-			_, told := w.usable[i][d.Target]
-			assert.Assert(w.t, !told, "a packet for a target that is known was dropped: %s", got.Reason)
+			_, told := m.usable[i][d.Target]
+			assert.Assert(m.t, !told, "a packet for a target that is known was dropped: %s", got.Reason)
 		}
 		return // map iteration order selects one flow at random; rapid only reproduces its own draws
 	}
 }
 
-func (w *model) advance() {
-	w.now = w.now.Add(time.Duration(rapid.IntRange(1, 500).Draw(w.t, "ms")) * ms)
-	for _, c := range w.cores {
-		c.Tick(w.now)
+func (m *model) advance() {
+	m.now = m.now.Add(time.Duration(rapid.IntRange(1, 500).Draw(m.t, "ms")) * ms)
+	for _, c := range m.cores {
+		c.Tick(m.now)
 	}
 }
 
@@ -148,16 +148,16 @@
 // that is draining, removed or of another service, or activate an older version.
 func TestRandomSteps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newModel(t)
+		m := newModel(t)
 		t.Repeat(map[string]func(*rapid.T){
-			"put":    func(*rapid.T) { w.putTarget() },
-			"remove": func(*rapid.T) { w.removeTarget() },
-			"config": func(*rapid.T) { w.applyConfig() },
-			"open":   func(*rapid.T) { w.openFlow() },
-			"send":   func(*rapid.T) { w.sendPacket() },
-			"wait":   func(*rapid.T) { w.advance() },
+			"put":    func(*rapid.T) { m.putTarget() },
+			"remove": func(*rapid.T) { m.removeTarget() },
+			"config": func(*rapid.T) { m.applyConfig() },
+			"open":   func(*rapid.T) { m.openFlow() },
+			"send":   func(*rapid.T) { m.sendPacket() },
+			"wait":   func(*rapid.T) { m.advance() },
 			"": func(t *rapid.T) {
-				for _, c := range w.cores {
+				for _, c := range m.cores {
 					for _, target := range c.targets.slots {
 						if target != nil && (target.activeRequests < 0 || target.flows < 0 || target.activeRequests > target.flows) {
 							t.Fatalf("%s: %d requests, %d flows", target.Name, target.activeRequests, target.flows)
--- a/internal/passthrough/trust.go
+++ b/internal/passthrough/trust.go
@@ -71,8 +71,8 @@
 
 // recordFailure records that t has not answered a packet that was sent at the given
 // time.
-func (c *Core) recordFailure(now ids.Time, t *target, sent ids.Time, reason string) {
-	if sent.Before(t.lastAlive) {
+func (c *Core) recordFailure(now ids.Time, t *target, sentAt ids.Time, reason string) {
+	if sentAt.Before(t.lastAlive) {
 		return // t has proved since then that it is alive
 	}
 	c.requestCheck(now, t)
@@ -81,7 +81,7 @@
 	}
 	t.suspicion.Fire(chart.SuspicionSilent)
 	t.scheduleRetry(now)
-	c.addEvent(Event{Kind: TargetSuspected, Target: t.Name, Service: t.Service, Reason: reason, Age: now.Sub(sent)})
+	c.addEvent(Event{Kind: TargetSuspected, Target: t.Name, Service: t.Service, Reason: reason, Age: now.Sub(sentAt)})
 }
 
 // requestCheck queues a health check of t, at most one per checkTTL.
@@ -91,11 +91,11 @@
 		return
 	}
 	t.lastCheckAt = now
-	k := Check{Target: t.Name, StartedAt: t.StartedAt, Address: t.Address, Path: path}
+	check := Check{Target: t.Name, StartedAt: t.StartedAt, Address: t.Address, Path: path}
 	if r := c.referenceTarget(t); r != nil {
-		k.Reference, k.ReferencePath = r.Address, c.routes.health[r.Service]
+		check.Reference, check.ReferencePath = r.Address, c.routes.health[r.Service]
 	}
-	c.checks = append(c.checks, k)
+	c.checks = append(c.checks, check)
 }
 
 // referenceTarget returns the usable target other than t that has most recently
--- a/internal/passthrough/trust_test.go
+++ b/internal/passthrough/trust_test.go
@@ -34,7 +34,7 @@
 }
 
 // Evidence that a target is alive must end its suspicion.
-func TestSignOfLifeEndsSuspicion(t *testing.T) {
+func TestAnswerEndsSuspicion(t *testing.T) {
 	c := testCore()
 	f := testFlow(1, counterAddress)
 	d := c.HandlePacket(startTime, openingPacket(f, 0))
@@ -122,7 +122,7 @@
 		othersAlive bool // another target proves to be alive after the check began
 		targetAlive bool // the target proves to be alive after the check began
 		idle        bool // the packet has no data
-		startedAt   int64
+		startedAt   int64 // of the incarnation that was checked
 		want        Verdict
 		newFlows    bool // the target stays usable for new flows
 	}{
@@ -171,7 +171,7 @@
 }
 
 // The result of a check must expire after checkTTL, and a target that still does not
-// answer must be checked again. In a simulated fault run (gwrb-dock, mix --seed
+// answer must be checked again. In a randomized fault run (gwrb-dock, mix --seed
 // 115976384511), 24 flows of a live target were reset seconds after a partition that
 // refused connections had healed.
 func TestCheckExpires(t *testing.T) {
@@ -222,7 +222,7 @@
 // The FIN of a caller must also be evaluated as an acknowledgement that proves the
 // target alive: the caller of a single request often acknowledges its response only
 // with the FIN.
-func TestEndOfFlowIsSignOfLife(t *testing.T) {
+func TestFINAcknowledgesResponse(t *testing.T) {
 	c := testCore()
 	f := testFlow(1, counterAddress)
 	d := openFlow(t, c, startTime, f)
