--- a/internal/passthrough/trust_test.go
+++ b/internal/passthrough/trust_test.go
@@ -119,9 +119,9 @@
 func TestCheckOfSuspectedTarget(t *testing.T) {
 	for name, test := range map[string]struct {
 		result      CheckResult
-		othersAlive bool // another target proves to be alive after the check began
-		targetAlive bool // the target proves to be alive after the check began
-		idle        bool // the packet has no data
+		othersAlive bool  // another target proves to be alive after the check began
+		targetAlive bool  // the target proves to be alive after the check began
+		idle        bool  // the packet has no data
 		startedAt   int64 // of the incarnation that was checked
 		want        Verdict
 		newFlows    bool // the target stays usable for new flows
