--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -28,7 +28,7 @@
 // later.
 func (c *Core) mint(d *callerDatagram) {
 	s := d.svc
-	here := c.accepting() && !c.admissions.Crowded()
+	here := c.accepting() && !c.admissions.MintingSuspended()
 	class, free := c.canStartHere(s, d)
 	if here && free {
 		c.grant(d, c.self.ID, c.self.Incarnation)
@@ -145,9 +145,9 @@
 func (c *Core) retryAfter(s *service) uint32 {
 	rate := defaultReturnRate
 	if s.ownedSlots() > 0 {
-		rate = s.pool.Rate()
+		rate = s.pool.ServiceRate()
 	}
-	return s.retrySchedule.Seconds(c.now, rate, c.rng)
+	return s.retrySchedule.RetryAfter(c.now, rate, c.rng)
 }
 
 // respondOutcomeUnknown responds that the outcome of the request is unknown.
@@ -196,10 +196,10 @@
 		// for them, and they do not delay short requests, which have their own
 		// queue.
 		profile := &s.config.Profile.Spread
-		limiter.QueueTime = limiter.Deadline
+		limiter.MaxQueueTime = limiter.Deadline
 		runTime = time.Duration(float64(runTime) * max(1, profile.LongFactor))
 		slots = max(1, slots*profile.LongShare)
 	}
-	limiter.Length = max(1, int(float64(limiter.Length)*share))
-	return limiter.Fits(current.queued[class], runTime, slots*share)
+	limiter.MaxLength = max(1, int(float64(limiter.MaxLength)*share))
+	return limiter.CanQueue(current.queued[class], runTime, slots*share)
 }
--- a/internal/core/backend.go
+++ b/internal/core/backend.go
@@ -171,7 +171,7 @@
 func (c *Core) takeRetry(r *request) bool {
 	s := r.svc
 	return !s.removed && s.ownedSlots() > 0 && r.attempts < maxAttempts &&
-		c.now.Add(s.pool.RunTime()) < r.deadline && s.budget.Take()
+		c.now.Add(s.pool.RunTime()) < r.deadline && s.budget.TryWithdraw()
 }
 
 // handleBackendFailure handles a request whose backend server failed. The
@@ -241,7 +241,7 @@
 	case r.idempotent && !r.isAdmitted && !r.upstreamAcked && r.resends < maxResends && c.now >= r.resendAt:
 		r.resends++
 		r.resendAt = c.now.Add(initialResendInterval << r.resends)
-		if r.svc.budget.Take() {
+		if r.svc.budget.TryWithdraw() {
 			c.counters.Resends++
 			c.transmit(r)
 		}
@@ -257,7 +257,7 @@
 		runTime = s.pool.RunTime()
 	}
 	return c.now.Add(runTime) >= r.deadline ||
-		r.class == spread.Short && c.now.Sub(r.arrived) > s.limiter.QueueTime && r.attempts == 0
+		r.class == spread.Short && c.now.Sub(r.arrived) > s.limiter.MaxQueueTime && r.attempts == 0
 }
 
 // rejectQueued rejects a request that was taken out of its queue.
--- a/internal/core/caller.go
+++ b/internal/core/caller.go
@@ -237,7 +237,7 @@
 			return
 		}
 		c.mint(d)
-	case !idempotent && known && c.accepting() && !c.admissions.Crowded():
+	case !idempotent && known && c.accepting() && !c.admissions.MintingSuspended():
 		c.grant(d, c.self.ID, c.self.Incarnation)
 	case !idempotent:
 		c.mint(d)
@@ -262,11 +262,11 @@
 func (c *Core) routeByToken(d *callerDatagram) {
 	token, verdict := c.keys.Parse(d.m.Echo, d.svc.name)
 	switch {
-	case verdict == admission.Foreign:
+	case verdict == admission.NotIssued:
 		c.mint(d)
 	case verdict == admission.UnknownKey:
 		c.respondOutcomeUnknown(&d.callerExchange)
-	case c.admissions.Answers(token.Incarnation):
+	case c.admissions.AuthoritativeFor(token.Incarnation):
 		c.admit(d, token)
 	default:
 		m, ok := c.membership.Lookup(token.Incarnation)
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -26,7 +26,7 @@
 	}
 	// A stale read has no effect: the store keeps the highest revision of each
 	// document.
-	changed, refused := c.store.Publish(documents, e.Revision)
+	changed, refused := c.store.ApplyPublications(documents, e.Revision)
 	for _, failure := range refused {
 		c.log("config-refused", fmt.Sprintf("key=%s revision=%d error=%q", failure.Key, failure.Revision, failure.Err))
 	}
@@ -86,7 +86,7 @@
 			seeds = append(seeds, member.Seed{ID: i.ID, DataCentre: i.DataCentre, PeerAddr: i.PeerAddr})
 		}
 	}
-	c.membership.Listed(c.now, seeds)
+	c.membership.SetPlatformSeeds(c.now, seeds)
 }
 
 func (c *Core) handleConfigRequest(from ids.Instance, m *peerwire.ConfigRequest) {
@@ -96,15 +96,15 @@
 }
 
 func (c *Core) handleConfigDelta(from ids.Instance, m *peerwire.ConfigDelta) {
-	changed := c.store.Apply(m.Documents, m.Upto)
-	c.syncer.Answered(c.now, from)
+	changed := c.store.ApplyDocuments(m.Documents, m.Upto)
+	c.syncer.DeltaApplied(c.now, from)
 	c.applyServices(changed)
 }
 
 // requestConfig sends the configuration request r of the syncer to a peer or to
 // the platform.
 func (c *Core) requestConfig(r config.Request) {
-	if r.Kind == config.AskPeer {
+	if r.Kind == config.FetchFromPeer {
 		b := c.newPeerMessage(nil)
 		b.message.ConfigRequest = &peerwire.ConfigRequest{After: r.After}
 		c.sendPeerMessage(r.Peer, b)
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -119,7 +119,7 @@
 // where it has already had its turn, and waits is true.
 func (c *Core) acquireSlot(r *request) (lease spread.Lease, ok, waits bool) {
 	s := r.svc
-	if r.pinnedTarget != "" && (s.pool.Leaving(r.pinnedTarget) || len(s.waitingForTarget) >= s.limiter.Length) {
+	if r.pinnedTarget != "" && (s.pool.OutOfService(r.pinnedTarget) || len(s.waitingForTarget) >= s.limiter.MaxLength) {
 		r.pinnedTarget = ""
 	}
 	if r.pinnedTarget != "" {
@@ -141,9 +141,9 @@
 // one run time.
 func (s *service) maxTargetWait(r *request) time.Duration {
 	if s.pool.Classify(r.contentKey) == spread.Long {
-		return s.limiter.QueueTime
+		return s.limiter.MaxQueueTime
 	}
-	return min(s.limiter.QueueTime, targetWaitRunTimes*s.pool.RunTime())
+	return min(s.limiter.MaxQueueTime, targetWaitRunTimes*s.pool.RunTime())
 }
 
 // dispatchWaitingForTarget sends the follow-up blocks whose target has a free
@@ -158,7 +158,7 @@
 		switch lease, ok := s.pool.AcquireTarget(c.now, r.pinnedTarget); {
 		case ok:
 			c.sendUpstream(r, lease)
-		case s.pool.Leaving(r.pinnedTarget) || c.now.Sub(r.arrived) > s.maxTargetWait(r):
+		case s.pool.OutOfService(r.pinnedTarget) || c.now.Sub(r.arrived) > s.maxTargetWait(r):
 			r.pinnedTarget = ""
 			c.startOrQueue(r)
 		default:
@@ -186,7 +186,7 @@
 	r.upstreamToken, r.upstreamID = c.newUpstream(upstream{request: r})
 	r.upstreamAcked, r.resends, r.resendAt = false, 0, c.now.Add(initialResendInterval)
 	if r.attempts == 0 {
-		s.budget.Attempt()
+		s.budget.Deposit()
 	}
 	r.attempts++
 	if r.class == spread.Long {
--- a/internal/core/feed.go
+++ b/internal/core/feed.go
@@ -110,20 +110,20 @@
 // registration, if any.
 func (c *Core) registerNext(f *flow.Feed, target ids.Target, endpoint ids.Endpoint) {
 	token, id := c.newUpstream(upstream{feed: f})
-	f.Next = flow.Upstream{Token: token, ID: id, Target: target, Endpoint: endpoint, Asked: c.now}
+	f.Next = flow.Upstream{Token: token, ID: id, Target: target, Endpoint: endpoint, CreatedAt: c.now}
 	c.sendRegistration(f, &f.Next)
 }
 
 func (c *Core) newRegistrationID(f *flow.Feed, up *flow.Upstream) {
 	delete(c.upstreamTokens, up.ID)
 	c.nextMessageID++
-	up.ID, up.Acked, up.Tries = c.nextMessageID, false, 0
+	up.ID, up.Acked, up.Transmissions = c.nextMessageID, false, 0
 	c.upstreamTokens[up.ID] = up.Token
 }
 
 func (c *Core) sendRegistration(f *flow.Feed, up *flow.Upstream) {
-	up.Sent = c.now
-	up.Tries++
+	up.LastSent = c.now
+	up.Transmissions++
 	e := c.emit(ToBackend)
 	e.Service, e.Target, e.Endpoint = f.Service, up.Target, up.Endpoint
 	e.Datagram = message.Outgoing{Template: f.Request, Type: message.Confirmable, ID: up.ID, Token: encodeUpstreamToken(up.Token), SetObserve: true}
@@ -173,7 +173,7 @@
 		c.handleUnobserved(f, up, m)
 		return
 	}
-	if !up.Newer(c.now, m.Observe) && !(f.Pending.Present && up.Same(m.Observe)) {
+	if !up.AcceptIfNewer(c.now, m.Observe) && !(f.Pending.Present && up.IsLatest(m.Observe)) {
 		c.counters.OldNotifications++
 		return
 	}
@@ -181,7 +181,7 @@
 	if up == &f.Next {
 		c.promoteNext(f)
 	}
-	f.Heard, f.MaxAge, f.Silent = c.now, time.Duration(m.MaxAge)*time.Second, 0
+	f.LastNotification, f.MaxAge, f.Reregistrations = c.now, time.Duration(m.MaxAge)*time.Second, 0
 	c.sendNotification(f, m)
 }
 
@@ -209,11 +209,11 @@
 		return
 	}
 	o.Type, o.ID, o.Token = message.Confirmable, f.NextID(), f.Token
-	if m.Type == message.NonConfirmable && c.now.Sub(f.Checked) < confirmableInterval {
+	if m.Type == message.NonConfirmable && c.now.Sub(f.LastConfirmable) < confirmableInterval {
 		o.Type = message.NonConfirmable
 	} else if q := c.awaitAck(s, f.Caller, &o); q != nil {
 		q.isFeed, q.feed = true, f.Key
-		f.Checked = c.now
+		f.LastConfirmable = c.now
 	} else {
 		o.Type = message.NonConfirmable
 	}
@@ -254,10 +254,10 @@
 // startReplacement starts a second registration of f that replaces the active
 // one once its first notification arrives.
 func (c *Core) startReplacement(f *flow.Feed, elsewhere bool) {
-	if f.Next.Token != 0 || c.now < f.Retry {
+	if f.Next.Token != 0 || c.now < f.RetryAt {
 		return
 	}
-	f.Retry = c.now.Add(feedRetryInterval)
+	f.RetryAt = c.now.Add(feedRetryInterval)
 	if !elsewhere {
 		c.registerNext(f, f.Active.Target, f.Active.Endpoint)
 		return
@@ -281,19 +281,19 @@
 	if up == &f.Active {
 		// Until the next notification the feed is treated as silent, so that it
 		// is replaced again if the next target fails as well.
-		f.Heard, f.MaxAge = 0, 0
+		f.LastNotification, f.MaxAge = 0, 0
 		c.startReplacement(f, true)
 		return
 	}
 	failedTarget := up.Target
 	c.deregister(f, up, o)
-	f.Silent++
+	f.Reregistrations++
 	if f.Active.Established {
-		f.Retry = c.now.Add(feedRetryInterval)
+		f.RetryAt = c.now.Add(feedRetryInterval)
 		return
 	}
 	pool := c.slotTable.Pool(f.Service)
-	if pool != nil && f.Silent < maxFeedTargets {
+	if pool != nil && f.Reregistrations < maxFeedTargets {
 		if target, endpoint, ok := pool.OpenFeed(c.now, failedTarget); ok {
 			c.registerNext(f, target, endpoint)
 			return
--- a/internal/core/feedmove.go
+++ b/internal/core/feedmove.go
@@ -36,10 +36,10 @@
 	if f.Pending.Present && f.Active.Token != 0 {
 		c.checkRegistration(f, &f.Active)
 	}
-	if f.Quiet(c.now) && c.now >= f.Retry {
-		c.startReplacement(f, f.Silent > 0)
-		f.Silent++
-	} else if pool := c.slotTable.Pool(f.Service); pool != nil && pool.Leaving(f.Active.Target) {
+	if f.Overdue(c.now) && c.now >= f.RetryAt {
+		c.startReplacement(f, f.Reregistrations > 0)
+		f.Reregistrations++
+	} else if pool := c.slotTable.Pool(f.Service); pool != nil && pool.OutOfService(f.Active.Target) {
 		c.startReplacement(f, true)
 	}
 	c.checkHome(f, s)
@@ -48,10 +48,10 @@
 // checkRegistration retransmits an unanswered registration, or ends it after
 // the last try.
 func (c *Core) checkRegistration(f *flow.Feed, up *flow.Upstream) {
-	if c.now.Sub(up.Sent) < registerTimeout {
+	if c.now.Sub(up.LastSent) < registerTimeout {
 		return
 	}
-	if up.Tries < maxRegisterTries {
+	if up.Transmissions < maxRegisterTries {
 		c.sendRegistration(f, up)
 		return
 	}
@@ -66,16 +66,16 @@
 func (c *Core) checkHome(f *flow.Feed, s *service) {
 	home, ok := c.homeInstance(s, ids.HashEndpoint(f.Caller))
 	if !ok || home == c.self.ID {
-		f.Moving = ""
+		f.MovingTo = ""
 		return
 	}
 	if !f.Active.Established || c.stop.phase == running && c.now.Sub(f.Created) < minMoveInterval ||
-		f.Moving == home && c.now.Sub(f.Asked) < minMoveInterval {
+		f.MovingTo == home && c.now.Sub(f.MoveSentAt) < minMoveInterval {
 		return
 	}
-	f.Moving, f.Asked = home, c.now
+	f.MovingTo, f.MoveSentAt = home, c.now
 	b := c.newPeerMessage(s)
-	b.message.FeedMove = f.Move()
+	b.message.FeedMove = f.HandoverRecord()
 	c.sendPeerMessage(home, b)
 	for _, q := range c.unackedList {
 		if q.isFeed && q.feed == f.Key {
@@ -98,7 +98,7 @@
 		return
 	}
 	c.refreshOwnership(s)
-	f, added, err := c.feeds.Take(c.now, m)
+	f, added, err := c.feeds.AcceptHandover(c.now, m)
 	switch {
 	case err != nil:
 		c.counters.Malformed++
@@ -125,7 +125,7 @@
 
 func (c *Core) sendFeedMoved(to ids.Instance, k flow.Key, refused bool) {
 	b := c.newPeerMessage(c.services[k.Service])
-	b.message.FeedMoved = flow.Moved(k, refused)
+	b.message.FeedMoved = flow.HandoverReply(k, refused)
 	c.sendPeerMessage(to, b)
 }
 
@@ -138,7 +138,7 @@
 		return
 	}
 	f := c.feeds.Get(k)
-	if f == nil || f.Moving != from || m.Refused {
+	if f == nil || f.MovingTo != from || m.Refused {
 		return // after a refusal the handover is sent again later
 	}
 	c.counters.FeedsMoved++
--- a/internal/core/long.go
+++ b/internal/core/long.go
@@ -20,7 +20,7 @@
 	if class == spread.Short {
 		return true
 	}
-	overdue := s.longWaitingSince != 0 && c.now.Sub(s.longWaitingSince) >= s.limiter.QueueTime/longOverdueDivisor
+	overdue := s.longWaitingSince != 0 && c.now.Sub(s.longWaitingSince) >= s.limiter.MaxQueueTime/longOverdueDivisor
 	return overdue || c.belowSharedLongLimit(s)
 }
 
@@ -45,7 +45,7 @@
 	if !applies {
 		return true
 	}
-	longSlots := s.pool.Longs()
+	longSlots := s.pool.LongInUse()
 	for i := range s.peers {
 		if p := &s.peers[i]; c.now.Sub(p.reportedAt) <= loadReportTTL {
 			longSlots += p.longSlots
@@ -108,7 +108,7 @@
 		s.endedLongKey, s.endedLongRunTime = 0, 0
 		return
 	}
-	longSlots := s.pool.Longs()
+	longSlots := s.pool.LongInUse()
 	if longSlots == s.reportedLongCount && s.endedLongKey == 0 {
 		return
 	}
@@ -130,7 +130,7 @@
 
 // longHoldsAllSlots reports whether long requests hold all usable slots here.
 func (s *service) longHoldsAllSlots() bool {
-	return s.pool != nil && s.pool.Usable() > 0 && s.pool.Longs() >= s.pool.Usable()
+	return s.pool != nil && s.pool.Usable() > 0 && s.pool.LongInUse() >= s.pool.Usable()
 }
 
 // peerForShort returns a co-owner that has slots without long requests,
--- a/internal/core/once_test.go
+++ b/internal/core/once_test.go
@@ -140,7 +140,7 @@
 	w := newTestCluster(t, 2, testService("s", 4))
 	for _, c := range w.cores {
 		for range 20 {
-			c.services["s"].budget.Attempt()
+			c.services["s"].budget.Deposit()
 		}
 	}
 	sheds := 1
--- a/internal/core/peer.go
+++ b/internal/core/peer.go
@@ -24,10 +24,10 @@
 	}
 	switch {
 	case m.Heartbeat != nil:
-		c.membership.Heartbeat(c.now, m.From, m.Heartbeat)
-		c.syncer.Heard(c.now, m.From, m.Heartbeat.Revision)
+		c.membership.HandleHeartbeat(c.now, m.From, m.Heartbeat)
+		c.syncer.ObserveRevision(c.now, m.From, m.Heartbeat.Revision)
 	case m.MemberDelta != nil:
-		c.membership.Delta(c.now, m.From, m.MemberDelta)
+		c.membership.HandleDelta(c.now, m.From, m.MemberDelta)
 	case m.ConfigRequest != nil:
 		c.handleConfigRequest(m.From, m.ConfigRequest)
 	case m.ConfigDelta != nil:
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -102,12 +102,12 @@
 	return ids.Mix(s.hash, ids.Mix(m.Path, uint64(m.Code)))
 }
 
-// runTimeKey returns the content key of a first block and Unlearned for a
+// runTimeKey returns the content key of a first block and UntrackedKey for a
 // follow-up block. A follow-up block takes a fraction of the time of the first;
 // including it in the prediction would classify every first block as long.
 func (s *service) runTimeKey(m *message.Message) uint64 {
 	if m.Block1.Num > 0 || m.Block2.Num > 0 {
-		return spread.Unlearned
+		return spread.UntrackedKey
 	}
 	return s.contentKey(m)
 }
--- a/internal/core/respond.go
+++ b/internal/core/respond.go
@@ -141,7 +141,7 @@
 		return
 	}
 	if f := c.feeds.Get(q.feed); f != nil {
-		f.Failed = 0
+		f.UnackedNotifications = 0
 		if reset {
 			c.endFeed(f)
 		}
@@ -184,7 +184,7 @@
 	if f == nil {
 		return
 	}
-	if f.Failed++; f.Failed >= flow.MaxFailed {
+	if f.UnackedNotifications++; f.UnackedNotifications >= flow.MaxUnacked {
 		c.endFeed(f)
 	}
 }
--- a/internal/core/service.go
+++ b/internal/core/service.go
@@ -41,7 +41,7 @@
 	partnerByHost map[string]int // Uri-Host to index in partners
 	limiter       admission.Limiter
 	budget        admission.RetryBudget
-	retrySchedule share.Returns
+	retrySchedule share.RetryPacer
 
 	generation uint64
 	pool       *spread.Pool
@@ -94,9 +94,9 @@
 	for _, m := range p.Protect.Idempotent {
 		s.idempotent |= 1 << methods[m]
 	}
-	s.limiter = admission.Limiter{QueueTime: p.Protect.QueueTime, Deadline: p.Protect.Deadline, Length: p.Protect.QueueLength}
+	s.limiter = admission.Limiter{MaxQueueTime: p.Protect.QueueTime, Deadline: p.Protect.Deadline, MaxLength: p.Protect.QueueLength}
 	s.budget.Ratio = p.Protect.RetryRatio
-	s.retrySchedule.Min, s.retrySchedule.Max, s.retrySchedule.Part = p.Protect.RetryAfterMin, p.Protect.RetryAfterMax, returnRateFraction
+	s.retrySchedule.Min, s.retrySchedule.Max, s.retrySchedule.LoadFraction = p.Protect.RetryAfterMin, p.Protect.RetryAfterMax, returnRateFraction
 
 	old := s.partners
 	s.partners = append(make([]partner, 0, len(p.Partners)+1), partner{Partner: config.Partner{Weight: 1}})
@@ -178,7 +178,7 @@
 	if s.pool == nil {
 		return 0
 	}
-	return s.pool.Owned()
+	return s.pool.Capacity()
 }
 
 func (s *service) backlog() int { return s.queues[spread.Short].Len() + s.queues[spread.Long].Len() }
@@ -200,7 +200,7 @@
 		return false
 	}
 	*l = peerwire.Load{Service: s.name, Backlog: uint16(min(s.backlog(), 1<<16-1)), Refuse: !c.accepting()}
-	l.Slots, l.Long = uint16(s.pool.Usable()), uint16(s.pool.Longs())
+	l.Slots, l.Long = uint16(s.pool.Usable()), uint16(s.pool.LongInUse())
 	l.LongKey, l.LongRun = s.endedLongKey, uint32(s.endedLongRunTime/time.Millisecond)
 	if c.accepting() {
 		l.Free = uint16(max(0, s.pool.Free(spread.Short)))
@@ -220,7 +220,7 @@
 		p.freeSlots, p.backlog, p.refusing, p.reportedAt = int(l.Free), int(l.Backlog), l.Refuse, c.now
 		p.usableSlots, p.longSlots = int(l.Slots), int(l.Long)
 		if s.pool != nil {
-			s.pool.Adopt(l.LongKey, time.Duration(l.LongRun)*time.Millisecond)
+			s.pool.ImportRunTime(l.LongKey, time.Duration(l.LongRun)*time.Millisecond)
 		}
 	}
 }
--- a/internal/core/stop.go
+++ b/internal/core/stop.go
@@ -164,7 +164,7 @@
 	c.stop.handoverTries++
 	c.stop.lastSent = c.now
 	for _, p := range c.stop.admissionParts {
-		c.admissions.Stamp(c.now, p)
+		c.admissions.StampClocks(c.now, p)
 		b := c.newPeerMessage(nil)
 		b.message.AdmissionMove = p
 		c.sendPeerMessage(c.stop.successor, b)
--- a/internal/core/tick.go
+++ b/internal/core/tick.go
@@ -174,6 +174,6 @@
 	if s.pool == nil {
 		return
 	}
-	s.pool.Health(c.now, spread.Health{Target: e.Target, Healthy: e.Healthy, Draining: e.Draining, Load: e.Load, Took: e.Duration})
+	s.pool.RecordCheck(c.now, spread.CheckResult{Target: e.Target, Healthy: e.Healthy, Draining: e.Draining, Load: e.Load, Duration: e.Duration})
 	c.dispatch(s)
 }
--- a/internal/spread/pool_test.go
+++ b/internal/spread/pool_test.go
@@ -93,17 +93,17 @@
 func TestPredictorAndTimeouts(t *testing.T) {
 	p := newPredictor()
 	for range 20 {
-		p.learn(1, 10*time.Millisecond, Short, Success)
+		p.record(1, 10*time.Millisecond, Short, Success)
 	}
-	p.learn(1, 2*time.Second, Short, Timeout)
-	p.learn(1, 2*time.Second, Short, Timeout)
+	p.record(1, 2*time.Second, Short, Timeout)
+	p.record(1, 2*time.Second, Short, Timeout)
 	assert.Equal(t, p.classify(1), Short)
-	for range timeoutsToLearn {
-		p.learn(2, 2*time.Second, Short, Timeout)
+	for range timeoutsForLong {
+		p.record(2, 2*time.Second, Short, Timeout)
 	}
 	assert.Equal(t, p.classify(2), Long)
 	for k := uint64(1000); k < 20000; k++ {
-		p.learn(k, 10*time.Millisecond, Short, Success)
+		p.record(k, 10*time.Millisecond, Short, Success)
 	}
 	assert.Equal(t, p.classify(2), Short, "an unused key is evicted")
 }
@@ -113,10 +113,10 @@
 	for _, d := range []time.Duration{20 * time.Microsecond, 3 * time.Millisecond, 47 * time.Millisecond, 9 * time.Second} {
 		p := newPredictor()
 		for range 100 {
-			p.learn(1, d, Short, Success)
+			p.record(1, d, Short, Success)
 		}
-		ratio := float64(p.mid) / float64(d)
-		assert.Assert(t, ratio > 0.85 && ratio < 1.15, "%v: %v", d, p.mid)
+		ratio := float64(p.median) / float64(d)
+		assert.Assert(t, ratio > 0.85 && ratio < 1.15, "%v: %v", d, p.median)
 	}
 }
 
@@ -139,13 +139,13 @@
 					leases = append(leases[:i], leases[i+1:]...)
 				}
 			case 3:
-				f.SetInstances(f.now, names(rapid.IntRange(1, 4).Draw(r, "instances")))
+				f.SetInstances(f.now, instanceNames(rapid.IntRange(1, 4).Draw(r, "instances")))
 			case 4:
-				f.r.Service.Targets = resolved("s", rapid.IntRange(1, 8).Draw(r, "targets")).Service.Targets
+				f.r.Service.Targets = testService("s", rapid.IntRange(1, 8).Draw(r, "targets")).Service.Targets
 				f.r.Service.Targets[0].Draining = rapid.Bool().Draw(r, "draining")
 				f.SetService(f.now, f.r)
 			case 5:
-				f.pool.Health(f.now, Health{Target: "t00001", Healthy: rapid.Bool().Draw(r, "healthy")})
+				f.pool.RecordCheck(f.now, CheckResult{Target: "t00001", Healthy: rapid.Bool().Draw(r, "healthy")})
 			case 6:
 				f.advance(time.Duration(rapid.IntRange(1, 300).Draw(r, "time")) * 10 * time.Millisecond)
 			}
@@ -162,26 +162,26 @@
 			continue
 		}
 		usable, free, running = usable+t.usable, free+t.free, running+t.inUse
-		if t.listed {
+		if t.inFreeList {
 			listed++
 			assert.Assert(r, t.free > 0)
 		}
-		if t.counted() {
+		if t.countsForPanic() {
 			counted++
 			if t.suspected() {
 				suspect++
 			}
 		}
 	}
-	for _, e := range p.runs {
+	for _, e := range p.requests {
 		if e.active && e.class == Long {
 			longs++
 		}
 	}
 	assert.DeepEqual(r, []int{usable, free, running, longs, counted, suspect},
-		[]int{p.usable, p.free, leases, p.longs, p.owned, p.suspect})
+		[]int{p.usable, p.free, leases, p.longRunning, p.panicTotal, p.panicSuspected})
 	n := 0
-	for i := p.head; i != none; i = p.targets[i].next {
+	for i := p.freeHead; i != none; i = p.targets[i].next {
 		n++
 	}
 	assert.Equal(r, n, listed)
@@ -194,7 +194,7 @@
 	l, _ := f.pool.Acquire(f.now, Short, "")
 	name, _, _ := f.pool.OpenFeed(f.now, "")
 	f.RemoveService("s")
-	assert.Assert(t, f.Pool("s") == f.pool && f.pool.Free(Short) == 0 && f.pool.Leaving(name))
+	assert.Assert(t, f.Pool("s") == f.pool && f.pool.Free(Short) == 0 && f.pool.OutOfService(name))
 	f.pool.Release(f.now, l, 1, Success)
 	f.pool.CloseFeed(name, Success)
 	f.advance(20 * time.Millisecond)
@@ -205,18 +205,18 @@
 // taken over: its health is not checked here, so a drain would go unnoticed.
 func TestTargetOfAnotherOwnerIsLeft(t *testing.T) {
 	f := newFixture(3)
-	f.SetInstances(f.now, names(3))
+	f.SetInstances(f.now, instanceNames(3))
 	f.pool = f.Pool("s")
 	for i := range 3 {
 		name := ids.Target(fmt.Sprintf("t%05d", i))
 		j, ok := f.pool.byName[name]
-		assert.Equal(t, f.pool.Leaving(name), !ok || f.pool.targets[j].owned == 0, "%s", name)
+		assert.Equal(t, f.pool.OutOfService(name), !ok || f.pool.targets[j].owned == 0, "%s", name)
 	}
-	f.SetInstances(f.now, names(1))
+	f.SetInstances(f.now, instanceNames(1))
 	name, _, _ := f.pool.OpenFeed(f.now, "")
-	assert.Assert(t, !f.pool.Leaving(name))
+	assert.Assert(t, !f.pool.OutOfService(name))
 	f.SetInstances(f.now, []ids.Instance{"instance-001", "instance-002"})
-	assert.Assert(t, f.pool.Leaving(name))
+	assert.Assert(t, f.pool.OutOfService(name))
 }
 
 // Guards against feeds that pile up on one target, exceed the limit of the
@@ -237,7 +237,7 @@
 	f.pool.CloseFeed("t00002", Success)
 	name, _, _ := f.pool.OpenFeed(f.now, "")
 	assert.Equal(t, name, ids.Target("t00002"))
-	assert.Assert(t, f.pool.Leaving("t00003") && !f.pool.Leaving("t00000") && f.pool.Leaving("unknown"))
+	assert.Assert(t, f.pool.OutOfService("t00003") && !f.pool.OutOfService("t00000") && f.pool.OutOfService("unknown"))
 }
 
 // Guards against a target that keeps its old address, health and requests
@@ -245,7 +245,7 @@
 func TestTargetMovesToNewAddress(t *testing.T) {
 	f := newFixture(3)
 	l, _ := f.pool.AcquireTarget(f.now, "t00000")
-	moved := resolved("s", 3)
+	moved := testService("s", 3)
 	moved.Service.Targets = append([]config.Target{}, moved.Service.Targets...)
 	moved.Service.Targets[0].Address = moved.Service.Targets[2].Address
 	f.SetService(f.now, moved)
@@ -284,7 +284,7 @@
 		f := newFixture(12)
 		for i := range 60 {
 			if i%20 == 10 {
-				f.r.Service.Targets = resolved("s", 9+i%7).Service.Targets
+				f.r.Service.Targets = testService("s", 9+i%7).Service.Targets
 				f.SetService(f.now, f.r)
 			}
 			name, _ := f.request(uint64(i%3), time.Duration(i%7+1)*time.Millisecond, Success)
@@ -331,5 +331,5 @@
 		f.request(key, run, Success)
 	}
 	want := 10 / 0.0198 // slots over mean run time
-	assert.Assert(t, f.pool.Rate() > want/2 && f.pool.Rate() < want*2, "%v, want about %v", f.pool.Rate(), want)
+	assert.Assert(t, f.pool.ServiceRate() > want/2 && f.pool.ServiceRate() < want*2, "%v, want about %v", f.pool.ServiceRate(), want)
 }
