--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// returnRateFraction is the fraction of the service rate at which rejected
+	// callerRetryFraction is the fraction of the service rate at which rejected
 	// callers are told to retry. With it, the model (make experiment) stays
 	// below 1.1 transmissions per request at three times the capacity.
-	returnRateFraction = 0.25
-	// defaultReturnRate replaces the service rate, in requests per second,
+	callerRetryFraction = 0.25
+	// defaultCallerRetryRate replaces the service rate, in requests per second,
 	// where this instance owns no slot and the service rate is therefore
 	// unknown.
-	defaultReturnRate = 10.0
+	defaultCallerRetryRate = 10.0
 )
 
 // mint responds to a non-idempotent request with a token that names the
@@ -28,9 +28,9 @@
 // later.
 func (c *Core) mint(d *callerDatagram) {
 	s := d.svc
-	here := c.accepting() && !c.admissions.MintingSuspended()
+	canAdmit := c.accepting() && !c.admissions.MintingSuspended()
 	class, free := c.canStartHere(s, d)
-	if here && free {
+	if canAdmit && free {
 		c.grant(d, c.self.ID, c.self.Incarnation)
 		return
 	}
@@ -46,7 +46,7 @@
 		c.grant(d, home, incarnation)
 		return
 	}
-	if here && c.fits(s, class, s.partnerOf(d.m.Host, d.caller)) {
+	if canAdmit && c.fitsQueue(s, class, s.partnerOf(d.msg.Host, d.caller)) {
 		c.grant(d, c.self.ID, c.self.Incarnation)
 		return
 	}
@@ -71,15 +71,15 @@
 	c.respond(&d.callerExchange, &message.Outgoing{Code: message.Unauthorized, Echo: echo[:]})
 }
 
-// admit handles a request whose token names this incarnation or one that this
-// instance has succeeded.
+// admit handles a request whose token names this incarnation, or one whose
+// admission table this instance has taken over.
 func (c *Core) admit(d *callerDatagram, t admission.Token) {
-	e, decision := c.admissions.Admit(c.now, t, d.m.Digest)
+	e, decision := c.admissions.Admit(c.now, t, d.msg.Digest)
 	switch decision {
 	case admission.Admit:
 		c.admitNew(d, e.ID)
 	case admission.Duplicate:
-		c.duplicate(d, e)
+		c.handleDuplicate(d, e)
 	case admission.NotRun:
 		c.counters.Reminted++
 		c.mint(d)
@@ -95,17 +95,17 @@
 	r := c.newRequest(d)
 	r.isAdmitted, r.admission = true, id
 	c.requestsByAdmission[id] = r
-	if d.m.Block1.Num > 0 || d.m.Block2.Num > 0 {
-		k := flow.BlockKey{FlowKey: ids.FlowKey{Caller: d.caller, Service: s.name}, Path: d.m.Path}
+	if d.msg.Block1.Num > 0 || d.msg.Block2.Num > 0 {
+		k := flow.BlockKey{FlowKey: ids.FlowKey{Caller: d.caller, Service: s.name}, Path: d.msg.Path}
 		route, _ := c.blockRoutes.Get(c.now, k)
 		r.pinnedTarget = route.Target
 	}
 	c.serveHere(r)
 }
 
-// duplicate responds to a repeated request according to the recorded state of
-// the first.
-func (c *Core) duplicate(d *callerDatagram, e *admission.Entry) {
+// handleDuplicate responds to a repeated request according to the recorded
+// state of the first.
+func (c *Core) handleDuplicate(d *callerDatagram, e *admission.Entry) {
 	c.counters.Duplicates++
 	switch e.State {
 	case admission.Running:
@@ -143,7 +143,7 @@
 // retryAfter returns the retry time of a rejected caller, in seconds, and
 // reserves that time in the retry schedule.
 func (c *Core) retryAfter(s *service) uint32 {
-	rate := defaultReturnRate
+	rate := defaultCallerRetryRate
 	if s.ownedSlots() > 0 {
 		rate = s.pool.ServiceRate()
 	}
@@ -171,16 +171,16 @@
 	c.remove(r)
 }
 
-// fits reports whether a request may be queued. A partner that sends more than
-// its share fills only its own part of the queue: its backlog is compared with
-// its share of the slots among the partners with queued requests.
-func (c *Core) fits(s *service, class spread.Class, partner int) bool {
+// fitsQueue reports whether a request may be queued. A partner that sends more
+// than its share fills only its own part of the queue: its backlog is compared
+// with its share of the slots among the partners with queued requests.
+func (c *Core) fitsQueue(s *service, class spread.Class, partner int) bool {
 	owned := s.ownedSlots()
 	if owned == 0 {
 		return false
 	}
-	current := &s.partners[partner]
-	waitingWeight := float64(current.Weight)
+	requestPartner := &s.partners[partner]
+	waitingWeight := float64(requestPartner.Weight)
 	for i := range s.partners {
 		if p := &s.partners[i]; i != partner && p.queued[class] > 0 {
 			waitingWeight += float64(p.Weight)
@@ -188,7 +188,7 @@
 	}
 	share := 1.0
 	if waitingWeight > 0 {
-		share = float64(current.Weight) / waitingWeight
+		share = float64(requestPartner.Weight) / waitingWeight
 	}
 	limiter, runTime, slots := s.limiter, s.pool.RunTime(), float64(owned)
 	if class == spread.Long {
@@ -201,5 +201,5 @@
 		slots = max(1, slots*profile.LongShare)
 	}
 	limiter.MaxLength = max(1, int(float64(limiter.MaxLength)*share))
-	return limiter.CanQueue(current.queued[class], runTime, slots*share)
+	return limiter.CanQueue(requestPartner.queued[class], runTime, slots*share)
 }
--- a/internal/core/arena.go
+++ b/internal/core/arena.go
@@ -20,13 +20,13 @@
 
 // messageBuffer is a peer message together with the memory of its parts.
 type messageBuffer struct {
-	message  peerwire.Message
-	load     peerwire.Load
-	relay    peerwire.Relay
-	slotFree peerwire.SlotFree
-	ackRoute peerwire.AckRoute
-	caller   [64]byte
-	trace    [8]byte
+	message      peerwire.Message
+	load         peerwire.Load
+	relay        peerwire.Relay
+	slotFree     peerwire.SlotFree
+	ackRoute     peerwire.AckRoute
+	endpointText [64]byte
+	traceBytes   [8]byte
 }
 
 func (a *arena) reset() { a.usedBuffers, a.usedTokens = 0, 0 }
@@ -63,6 +63,6 @@
 // formatEndpoint returns the text form of e, stored in b. Like all memory that
 // an effect refers to, it is valid until the next call of the core.
 func (b *messageBuffer) formatEndpoint(e ids.Endpoint) string {
-	text := e.AppendTo(b.caller[:0])
+	text := e.AppendTo(b.endpointText[:0])
 	return unsafe.String(unsafe.SliceData(text), len(text))
 }
--- a/internal/core/backend.go
+++ b/internal/core/backend.go
@@ -51,7 +51,7 @@
 	}
 	u := c.upstreams[token]
 	switch r, f := u.request, u.feed; {
-	case r != nil && r.lease.Endpoint == e.From && r.upstreamID == m.ID:
+	case r != nil && r.lease.Endpoint == e.From && r.upstreamMessageID == m.ID:
 		if m.Type == message.Acknowledgement {
 			r.upstreamAcked = true
 			return
@@ -203,7 +203,7 @@
 
 // checkRequest handles the expired timers of a request.
 func (c *Core) checkRequest(r *request) {
-	if r.kind == message.Confirmable && !r.acked && c.now.Sub(r.arrived) >= emptyAckDelay {
+	if r.messageType == message.Confirmable && !r.acked && c.now.Sub(r.arrived) >= emptyAckDelay {
 		c.sendEmptyAck(&r.callerExchange)
 	}
 	switch r.state {
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -61,14 +61,14 @@
 	return x
 }
 
-func (x *coreBenchmark) call(e *CallerEvent) {
+func (x *coreBenchmark) handleRequest(e *CallerEvent) {
 	x.effects.Reset()
 	x.now += 20_000
 	x.core.lastTick = x.now
 	x.core.HandleCaller(x.now, e, &x.effects)
 }
 
-func (x *coreBenchmark) respond() {
+func (x *coreBenchmark) handleResponse() {
 	for i := range x.effects.List {
 		if e := &x.effects.List[i]; e.Kind == ToBackend {
 			x.backendEndpoint, x.backendMessage = e.Endpoint, message.Message{ID: e.Datagram.ID, Token: e.Datagram.Token, Raw: e.Datagram.Template}
@@ -99,8 +99,8 @@
 		m := get(1).encode(b)
 		e := &CallerEvent{Service: x.service.name, Caller: callerA, Message: &m}
 		for b.Loop() {
-			x.call(e)
-			x.respond()
+			x.handleRequest(e)
+			x.handleResponse()
 		}
 		reportDecisionTime(b, 2)
 		assert.Assert(b, x.core.counters.Answered > 0 && x.core.counters.Refused == 0)
@@ -113,7 +113,7 @@
 		m := post(1, "claim").encode(b)
 		e := &CallerEvent{Service: x.service.name, Caller: callerA, Message: &m}
 		for b.Loop() {
-			x.call(e)
+			x.handleRequest(e)
 		}
 		reportDecisionTime(b, 1)
 		assert.Assert(b, x.core.counters.Minted > 0)
@@ -126,7 +126,7 @@
 func BenchmarkAdmit(b *testing.B) {
 	eachSize(b, func(b *testing.B, x *coreBenchmark) {
 		m := post(1, "claim").encode(b)
-		grant := &callerDatagram{callerExchange: callerExchange{svc: x.service, caller: callerA}, m: &m}
+		grant := &callerDatagram{callerExchange: callerExchange{svc: x.service, caller: callerA}, msg: &m}
 		admitted := m
 		e := &CallerEvent{Service: x.service.name, Caller: callerA, Message: &admitted}
 		var echoes [1000][admission.TokenSize]byte
@@ -148,8 +148,8 @@
 			}
 			admitted.Echo = echoes[next][:]
 			next++
-			x.call(e)
-			x.respond()
+			x.handleRequest(e)
+			x.handleResponse()
 		}
 		for range 40_000 {
 			run()
@@ -169,11 +169,11 @@
 		m := get(1).encode(b)
 		e := &CallerEvent{Service: x.service.name, Caller: callerA, Message: &m}
 		for n := 0; x.service.pool.Free(0) > 0; n++ {
-			x.call(&CallerEvent{Service: x.service.name, Caller: callerN(n + 2), Message: &m})
+			x.handleRequest(&CallerEvent{Service: x.service.name, Caller: callerN(n + 2), Message: &m})
 		}
 		for b.Loop() {
 			x.service.peers[0].freeSlots, x.service.peers[0].reportedAt = 10, x.now
-			x.call(e)
+			x.handleRequest(e)
 		}
 		reportDecisionTime(b, 1)
 		assert.Assert(b, x.core.counters.Relayed > 0)
@@ -190,7 +190,7 @@
 			}
 			x.effects.Reset()
 			x.core.begin(x.now, &x.effects)
-			a := callerDatagram{callerExchange: callerExchange{svc: x.service, caller: callerN(n), token: message.Token{Len: 4, Bytes: [8]byte{byte(n), byte(n >> 8), byte(n >> 16)}}}, m: &m}
+			a := callerDatagram{callerExchange: callerExchange{svc: x.service, caller: callerN(n), token: message.Token{Len: 4, Bytes: [8]byte{byte(n), byte(n >> 8), byte(n >> 16)}}}, msg: &m}
 			f := x.core.feeds.Add(x.now, feedKey(&a), m.Raw)
 			f.Active.Established, f.MaxAge = true, time.Hour
 		}
--- a/internal/core/caller.go
+++ b/internal/core/caller.go
@@ -28,11 +28,11 @@
 
 // handleCallerDatagram handles a datagram of a caller; relay is nil unless
 // another instance has relayed it.
-func (c *Core) handleCallerDatagram(s *service, caller ids.Endpoint, m *message.Message, trace uint64, relay *peerwire.Relay) {
+func (c *Core) handleCallerDatagram(s *service, caller ids.Endpoint, m *message.Message, traceID uint64, relay *peerwire.Relay) {
 	c.refreshOwnership(s)
 	d := callerDatagram{
-		callerExchange: callerExchange{svc: s, caller: caller, kind: m.Type, id: m.ID, token: m.Token},
-		m:              m, hash: ids.HashEndpoint(caller), traceID: trace,
+		callerExchange: callerExchange{svc: s, caller: caller, messageType: m.Type, messageID: m.ID, token: m.Token},
+		msg:            m, hash: ids.HashEndpoint(caller), traceID: traceID,
 	}
 	if relay != nil {
 		d.hops, d.age, d.acked = max(1, relay.Hops), time.Duration(relay.AgeMS)*time.Millisecond, relay.Acked
@@ -42,7 +42,7 @@
 		c.handleEmpty(&d)
 	case m.Code.IsRequest() && (m.Type == message.Confirmable || m.Type == message.NonConfirmable):
 		c.counters.Requests++
-		c.emitSpan(Received, s, trace, c.now)
+		c.emitSpan(Received, s, traceID, c.now)
 		c.routeRequest(&d)
 	default:
 		c.counters.Malformed++
@@ -51,18 +51,18 @@
 
 // handleEmpty handles an ACK, an RST or a ping.
 func (c *Core) handleEmpty(d *callerDatagram) {
-	if d.m.Type == message.Confirmable { // ping, RFC 7252 section 4.3
+	if d.msg.Type == message.Confirmable { // ping, RFC 7252 section 4.3
 		e := c.emit(ToCaller)
 		e.Service, e.Endpoint = d.svc.name, d.caller
-		e.Datagram = message.Outgoing{Type: message.Reset, ID: d.m.ID}
+		e.Datagram = message.Outgoing{Type: message.Reset, ID: d.msg.ID}
 		return
 	}
-	k := flow.AckKey{FlowKey: ids.FlowKey{Caller: d.caller, Service: d.svc.name}, ID: d.m.ID}
+	k := flow.AckKey{FlowKey: ids.FlowKey{Caller: d.caller, Service: d.svc.name}, ID: d.msg.ID}
 	if q := c.unacked[k]; q != nil {
-		c.handleAck(q, d.m.Type == message.Reset)
+		c.handleAck(q, d.msg.Type == message.Reset)
 		return
 	}
-	if d.m.Type == message.Reset && c.cancel(d) {
+	if d.msg.Type == message.Reset && c.cancel(d) {
 		return
 	}
 	if d.hops >= maxHops {
@@ -84,7 +84,7 @@
 // false if there is none.
 func (c *Core) cancel(d *callerDatagram) bool {
 	for _, r := range c.liveRequests {
-		if r.svc == d.svc && r.caller == d.caller && r.id == d.m.ID && !r.isAdmitted {
+		if r.svc == d.svc && r.caller == d.caller && r.messageID == d.msg.ID && !r.isAdmitted {
 			c.counters.Cancelled++
 			c.abandon(r, spread.Cancelled)
 			c.remove(r)
@@ -101,13 +101,15 @@
 	return c.membership.State() == peerwire.Joining && !c.membership.Synced()
 }
 
+// homeInstance returns the home instance of a flow, which keeps the state of the
+// flow. It is selected by hash, the hash of the caller endpoint.
 func (c *Core) homeInstance(s *service, hash uint64) (ids.Instance, bool) {
 	return c.routes.Home(s.name, hash)
 }
 
 // routeRequest selects the handling of a request by its method and options.
 func (c *Core) routeRequest(d *callerDatagram) {
-	s, m := d.svc, d.m
+	s, m := d.svc, d.msg
 	idempotent := s.idempotent&(1<<m.Code) != 0
 	switch {
 	case !idempotent && len(m.Echo) > 0:
@@ -131,7 +133,7 @@
 // retransmission of one.
 func (c *Core) handleRepeat(d *callerDatagram) bool {
 	r := c.requestsByKey[requestKey{ids.FlowKey{Caller: d.caller, Service: d.svc.name}, d.token}]
-	if r == nil || r.code != d.m.Code || r.path != d.m.Path {
+	if r == nil || r.code != d.msg.Code || r.path != d.msg.Path {
 		return false
 	}
 	c.acknowledgeRepeat(r, d)
@@ -144,7 +146,7 @@
 func (c *Core) acknowledgeRepeat(r *request, d *callerDatagram) {
 	c.counters.Repeats++
 	r.callerExchange = d.callerExchange
-	if d.kind == message.Confirmable {
+	if d.messageType == message.Confirmable {
 		c.sendEmptyAck(&r.callerExchange)
 	}
 }
@@ -163,7 +165,7 @@
 		c.relay(d, to)
 		return
 	}
-	if !c.accepting() || !c.fits(s, class, s.partnerOf(d.m.Host, d.caller)) {
+	if !c.accepting() || !c.fitsQueue(s, class, s.partnerOf(d.msg.Host, d.caller)) {
 		c.refuse(&d.callerExchange, false)
 		return
 	}
@@ -180,7 +182,7 @@
 	switch {
 	case c.accepting() && s.pool != nil && s.queues[class].Len() == 0 && c.mayStart(s, class):
 		c.start(r, class)
-	case c.accepting() && c.fits(s, class, r.partner):
+	case c.accepting() && c.fitsQueue(s, class, r.partner):
 		c.enqueue(r, class)
 	default:
 		c.reject(r)
@@ -193,7 +195,7 @@
 	if s.pool == nil {
 		return spread.Short, false
 	}
-	class := s.pool.Classify(s.runTimeKey(d.m))
+	class := s.pool.Classify(s.runTimeKey(d.msg))
 	return class, c.accepting() && s.queues[class].Len() == 0 && c.mayStart(s, class)
 }
 
@@ -218,7 +220,7 @@
 // served the first.
 func (c *Core) routeFollowUpBlock(d *callerDatagram, idempotent bool) {
 	s := d.svc
-	k := flow.BlockKey{FlowKey: ids.FlowKey{Caller: d.caller, Service: s.name}, Path: d.m.Path}
+	k := flow.BlockKey{FlowKey: ids.FlowKey{Caller: d.caller, Service: s.name}, Path: d.msg.Path}
 	route, known := c.blockRoutes.Get(c.now, k)
 	if known && route.Instance != "" && route.Instance != c.self.ID && s.peer(route.Instance) == nil {
 		known = false // that instance has failed or no longer owns a slot
@@ -260,7 +262,7 @@
 // Only the incarnation named in the token, or its successor, may run the
 // request or state that it has not run.
 func (c *Core) routeByToken(d *callerDatagram) {
-	token, verdict := c.keys.Parse(d.m.Echo, d.svc.name)
+	token, verdict := c.keys.Parse(d.msg.Echo, d.svc.name)
 	switch {
 	case verdict == admission.NotIssued:
 		c.mint(d)
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -17,7 +17,7 @@
 func (c *Core) HandleConfig(now ids.Time, e *ConfigEvent, out *Effects) {
 	c.begin(now, out)
 	if e.Err != nil {
-		c.syncer.Read(c.now, 0, false)
+		c.configSyncer.Read(c.now, 0, false)
 		return
 	}
 	documents := make([]config.Publication, 0, len(e.Documents))
@@ -26,23 +26,23 @@
 	}
 	// A stale read has no effect: the store keeps the highest revision of each
 	// document.
-	changed, refused := c.store.ApplyPublications(documents, e.Revision)
+	changed, refused := c.configStore.ApplyPublications(documents, e.Revision)
 	for _, failure := range refused {
 		c.log("config-refused", fmt.Sprintf("key=%s revision=%d error=%q", failure.Key, failure.Revision, failure.Err))
 	}
-	c.syncer.Read(c.now, e.Revision, true)
+	c.configSyncer.Read(c.now, e.Revision, true)
 	c.applyServices(changed)
 }
 
 // applyServices applies the configuration of the changed services.
 func (c *Core) applyServices(changed []ids.Service) {
-	c.membership.SetRevision(c.store.Revision())
+	c.membership.SetRevision(c.configStore.Revision())
 	if len(changed) == 0 {
 		return
 	}
 	c.generation++
 	for _, name := range changed {
-		resolved, ok := c.store.Resolved(name)
+		resolved, ok := c.configStore.Resolved(name)
 		s := c.services[name]
 		if !ok {
 			if s != nil {
@@ -56,7 +56,7 @@
 		}
 		c.installService(resolved)
 	}
-	c.log("config-applied", fmt.Sprintf("revision=%d services=%d", c.store.Revision(), len(changed)))
+	c.log("config-applied", fmt.Sprintf("revision=%d services=%d", c.configStore.Revision(), len(changed)))
 }
 
 // installService applies the resolved configuration of one service.
@@ -91,13 +91,13 @@
 
 func (c *Core) handleConfigRequest(from ids.Instance, m *peerwire.ConfigRequest) {
 	b := c.newPeerMessage(nil)
-	b.message.ConfigDelta = c.store.Delta(m.After, maxDeltaBytes)
+	b.message.ConfigDelta = c.configStore.Delta(m.After, maxDeltaBytes)
 	c.sendPeerMessage(from, b)
 }
 
 func (c *Core) handleConfigDelta(from ids.Instance, m *peerwire.ConfigDelta) {
-	changed := c.store.ApplyDocuments(m.Documents, m.Upto)
-	c.syncer.DeltaApplied(c.now, from)
+	changed := c.configStore.ApplyDocuments(m.Documents, m.Upto)
+	c.configSyncer.DeltaApplied(c.now, from)
 	c.applyServices(changed)
 }
 
--- a/internal/core/config_test.go
+++ b/internal/core/config_test.go
@@ -47,7 +47,7 @@
 	w.advance(3 * time.Second)
 	for i := range w.cores {
 		assert.Equal(t, w.targetCount(i), 2)
-		assert.Equal(t, w.cores[i].store.Revision(), ids.Revision(2))
+		assert.Equal(t, w.cores[i].configStore.Revision(), ids.Revision(2))
 	}
 	w.publish(1, 3, Publication{"service/d", 3, serviceDocument(0, 1, 2)})
 	w.publish(0, 2, Publication{"service/d", 2, serviceDocument(0, 1)})
@@ -61,7 +61,7 @@
 	w.advance(3 * time.Second)
 	for i := range w.cores {
 		assert.Equal(t, w.targetCount(i), 3)
-		assert.Equal(t, w.cores[i].store.Revision(), ids.Revision(4))
+		assert.Equal(t, w.cores[i].configStore.Revision(), ids.Revision(4))
 	}
 }
 
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -47,7 +47,7 @@
 	rng          *rand.Rand    // for jitter and tie-breaking
 	nonces       *rand.ChaCha8 // token nonces; unpredictable without the seed
 	membership   *member.View  // membership view
-	store        *config.Store // configuration documents
+	configStore  *config.Store // configuration documents
 	slotTable    *spread.Table // slot ownership; keeps this instance as an owner during a planned stop
 	routes       *spread.Table // home instances and slot owners; the same table as slotTable except during a planned stop
 	incarnations map[ids.Instance]ids.Incarnation
@@ -62,10 +62,10 @@
 
 	requestsByKey       map[requestKey]*request // requests without an admission token, queued or in flight
 	requestsByAdmission map[admission.ID]*request
-	liveRequests        []*request // all requests that are queued or in flight
-	upstreams           map[uint64]upstream
-	upstreamTokens      map[uint16]uint64 // upstream token by the message ID sent to the backend server
-	upstreamTokenHigh   uint64            // upper half of upstream tokens, random per incarnation
+	liveRequests        []*request          // all requests that are queued or in flight
+	upstreams           map[uint64]upstream // by upstream token
+	upstreamTokens      map[uint16]uint64   // upstream token by the message ID sent to the backend server
+	upstreamTokenHigh   uint64              // upper half of upstream tokens, random per incarnation
 	upstreamTokenLow    uint32
 	nextMessageID       uint16
 	lastTraceID         uint64
@@ -81,10 +81,10 @@
 	blockRoutes     flow.Cache[flow.BlockKey, flow.BlockRoute]
 	feeds           *flow.Table
 
-	syncer   *config.Syncer
-	stop     stopState
-	exited   bool
-	counters Counters
+	configSyncer *config.Syncer
+	stop         stopState
+	exited       bool
+	counters     Counters
 
 	// Method values bound once, so that passing them does not allocate.
 	emitPeerMessage   func(ids.Instance, *peerwire.Message)
@@ -107,8 +107,8 @@
 		membership: member.New(peerwire.Member{
 			ID: self.ID, Incarnation: self.Incarnation, DataCentre: self.DataCentre, PeerAddr: self.PeerAddr,
 		}, self.Seeds, mixed),
-		store:               &config.Store{},
-		syncer:              config.NewSyncer(self.ID, mixed),
+		configStore:         &config.Store{},
+		configSyncer:        config.NewSyncer(self.ID, mixed),
 		slotTable:           spread.NewTable(self.ID, self.DataCentre, mixed),
 		incarnations:        make(map[ids.Instance]ids.Incarnation),
 		services:            make(map[ids.Service]*service),
@@ -182,9 +182,9 @@
 	e.Event, e.Detail = event, detail
 }
 
-func (c *Core) emitSpan(hop Stage, s *service, trace uint64, start ids.Time) {
+func (c *Core) emitSpan(hop Stage, s *service, traceID uint64, start ids.Time) {
 	e := c.emit(Span)
-	e.Stage, e.Service, e.TraceID, e.Start, e.Duration = hop, s.name, trace, start, c.now.Sub(start)
+	e.Stage, e.Service, e.TraceID, e.Start, e.Duration = hop, s.name, traceID, start, c.now.Sub(start)
 }
 
 // accepting reports whether this instance may start new work in its own slots.
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -93,7 +93,7 @@
 
 // nextClass returns the class to dispatch next. While requests of both classes
 // are queued, the classes get equal slot time, within the cap on long requests
-// that Free applies, so that neither blocks the other.
+// that Pool.Free applies, so that neither blocks the other.
 func (c *Core) nextClass(s *service) (spread.Class, bool) {
 	shortReady := s.queues[spread.Short].Len() > 0 && s.pool.Free(spread.Short) > 0
 	longReady := s.queues[spread.Long].Len() > 0 && c.mayStart(s, spread.Long)
@@ -183,7 +183,7 @@
 func (c *Core) sendUpstream(r *request, lease spread.Lease) {
 	s := r.svc
 	r.state, r.lease, r.pool, r.dispatched = inFlight, lease, s.pool, c.now
-	r.upstreamToken, r.upstreamID = c.newUpstream(upstream{request: r})
+	r.upstreamToken, r.upstreamMessageID = c.newUpstream(upstream{request: r})
 	r.upstreamAcked, r.resends, r.resendAt = false, 0, c.now.Add(initialResendInterval)
 	if r.attempts == 0 {
 		s.budget.Deposit()
@@ -203,7 +203,7 @@
 	e := c.emit(ToBackend)
 	e.Service, e.Target, e.Endpoint = r.svc.name, r.lease.Target, r.lease.Endpoint
 	e.Datagram = message.Outgoing{
-		Template: r.datagram, Type: message.Confirmable, ID: r.upstreamID, Token: encodeUpstreamToken(r.upstreamToken),
+		Template: r.datagram, Type: message.Confirmable, ID: r.upstreamMessageID, Token: encodeUpstreamToken(r.upstreamToken),
 		DropEcho:   r.isAdmitted,
 		DeadlineMS: uint32(max(1, r.deadline.Sub(c.now)/time.Millisecond)),
 	}
@@ -214,7 +214,7 @@
 func (c *Core) abandon(r *request, o spread.Outcome) {
 	switch r.state {
 	case inFlight:
-		c.sendReset(r.svc.name, r.lease.Target, r.lease.Endpoint, r.upstreamID)
+		c.sendReset(r.svc.name, r.lease.Target, r.lease.Endpoint, r.upstreamMessageID)
 		c.endUpstreamExchange(r, o)
 	case queued:
 		r.svc.queues[r.class].RemoveIf(func(q *request) bool { return q == r }, func(*request) {})
--- a/internal/core/feed.go
+++ b/internal/core/feed.go
@@ -53,7 +53,7 @@
 		return
 	}
 	switch {
-	case d.m.Observe == 1:
+	case d.msg.Observe == 1:
 		if f != nil {
 			c.endFeed(f)
 		}
@@ -73,21 +73,21 @@
 }
 
 func newPending(d *callerDatagram, now ids.Time) flow.Pending {
-	return flow.Pending{Present: true, Type: d.kind, ID: d.id, Since: now}
+	return flow.Pending{Present: true, Type: d.messageType, ID: d.messageID, Since: now}
 }
 
 // refreshFeed handles a registration that already exists. It is forwarded to
 // the backend server, whose response is sent to the caller.
 func (c *Core) refreshFeed(f *flow.Feed, d *callerDatagram) {
-	if f.Pending.Present && f.Pending.ID == d.id { // retransmission
-		if d.kind == message.Confirmable {
+	if f.Pending.Present && f.Pending.ID == d.messageID { // retransmission
+		if d.messageType == message.Confirmable {
 			f.Pending.Acked = true
 			c.sendEmptyAck(&d.callerExchange)
 		}
 		return
 	}
 	f.Pending = newPending(d, c.now)
-	f.Request = append(f.Request[:0:0], d.m.Raw...)
+	f.Request = append(f.Request[:0:0], d.msg.Raw...)
 	if f.Active.Established {
 		c.newRegistrationID(f, &f.Active)
 		c.sendRegistration(f, &f.Active)
@@ -100,7 +100,7 @@
 		c.refuse(&d.callerExchange, false)
 		return
 	}
-	f := c.feeds.Add(c.now, feedKey(d), d.m.Raw)
+	f := c.feeds.Add(c.now, feedKey(d), d.msg.Raw)
 	f.Pending = newPending(d, c.now)
 	c.registerNext(f, target, endpoint)
 	c.counters.FeedsOpened++
@@ -204,7 +204,7 @@
 	c.counters.Notifications++
 	if p := f.Pending; p.Present {
 		f.Pending = flow.Pending{}
-		x := callerExchange{svc: s, caller: f.Caller, kind: p.Type, id: p.ID, token: f.Token, acked: p.Acked}
+		x := callerExchange{svc: s, caller: f.Caller, messageType: p.Type, messageID: p.ID, token: f.Token, acked: p.Acked}
 		c.respond(&x, &o)
 		return
 	}
@@ -240,9 +240,9 @@
 		return
 	}
 	s := c.services[f.Service]
-	x := callerExchange{svc: s, caller: f.Caller, kind: message.NonConfirmable, token: f.Token}
+	x := callerExchange{svc: s, caller: f.Caller, messageType: message.NonConfirmable, token: f.Token}
 	if p := f.Pending; p.Present {
-		x.kind, x.id, x.acked = p.Type, p.ID, p.Acked
+		x.messageType, x.messageID, x.acked = p.Type, p.ID, p.Acked
 	}
 	c.respond(&x, &message.Outgoing{Template: m.Raw, DropObserve: true})
 	if f.MovedFrom != "" {
@@ -253,12 +253,12 @@
 
 // startReplacement starts a second registration of f that replaces the active
 // one once its first notification arrives.
-func (c *Core) startReplacement(f *flow.Feed, elsewhere bool) {
+func (c *Core) startReplacement(f *flow.Feed, otherTarget bool) {
 	if f.Next.Token != 0 || c.now < f.RetryAt {
 		return
 	}
 	f.RetryAt = c.now.Add(feedRetryInterval)
-	if !elsewhere {
+	if !otherTarget {
 		c.registerNext(f, f.Active.Target, f.Active.Endpoint)
 		return
 	}
@@ -303,7 +303,7 @@
 		c.sendFeedMoved(f.MovedFrom, f.Key, true)
 	}
 	if p := f.Pending; p.Present {
-		x := callerExchange{svc: c.services[f.Service], caller: f.Caller, kind: p.Type, id: p.ID, token: f.Token, acked: p.Acked}
+		x := callerExchange{svc: c.services[f.Service], caller: f.Caller, messageType: p.Type, messageID: p.ID, token: f.Token, acked: p.Acked}
 		c.refuse(&x, false) // no registration exists
 	}
 	c.endFeed(f)
--- a/internal/core/feed_test.go
+++ b/internal/core/feed_test.go
@@ -169,11 +169,11 @@
 	}
 	w.callCore(home, func(c *Core, out *Effects) { c.Stop(w.now, out) })
 	base := w.observeValue()
-	pushed := 0
+	notified := 0
 	for n := 0; w.findFeed(home) != nil; n++ {
 		assert.Assert(t, n < 100, "the feed did not move")
 		w.notifyFeed(home, base+uint32(10*n)+1)
-		pushed++
+		notified++
 		w.advance(200 * time.Millisecond)
 		for _, r := range w.responses(callerA) {
 			w.sendEmpty(1, callerA, message.Acknowledgement, r.m.ID)
@@ -190,7 +190,7 @@
 	assert.Assert(t, next >= 0)
 	w.notifyFeed(next, w.observeValue()+1)
 	seen := map[uint16]bool{}
-	last, fresh := uint32(0), 0
+	last, increasing := uint32(0), 0
 	for _, r := range w.responses(callerA) {
 		if seen[r.m.ID] {
 			continue // retransmission
@@ -198,10 +198,10 @@
 		seen[r.m.ID] = true
 		if r.m.Observe > last {
 			last = r.m.Observe
-			fresh++
+			increasing++
 		}
 	}
-	assert.Assert(t, fresh >= pushed+2, "%d of %d notifications were newer than the one before", fresh, pushed+2)
+	assert.Assert(t, increasing >= notified+2, "%d of %d notifications were newer than the one before", increasing, notified+2)
 	assert.Equal(t, w.responses(callerA)[len(w.responses(callerA))-1].m.Observe, last)
 }
 
--- a/internal/core/feedmove.go
+++ b/internal/core/feedmove.go
@@ -26,7 +26,7 @@
 	}
 	if p := &f.Pending; p.Present && p.Type == message.Confirmable && !p.Acked && c.now.Sub(p.Since) >= emptyAckDelay {
 		p.Acked = true
-		x := callerExchange{svc: s, caller: f.Caller, id: p.ID}
+		x := callerExchange{svc: s, caller: f.Caller, messageID: p.ID}
 		c.sendEmptyAck(&x)
 	}
 	if f.Next.Token != 0 {
--- a/internal/core/fuzz_test.go
+++ b/internal/core/fuzz_test.go
@@ -35,14 +35,14 @@
 		service.Profile.Protect.RetryRatio = 1 // so that the budget does not prevent a wrong retry
 		w := newTestCluster(rt, 3, service)
 		w.ackConfirmables = true
-		claims := map[string]*tokenRequest{}
-		var order []*tokenRequest
-		loss, split := 0, ids.Instance("")
+		requestByPayload := map[string]*tokenRequest{}
+		var requests []*tokenRequest
+		lossPercent, partitioned := 0, ids.Instance("")
 		w.dropPeerMessage = func(from, to ids.Instance, m *peerwire.Message) bool {
-			if split != "" && (from == split || to == split) {
+			if partitioned != "" && (from == partitioned || to == partitioned) {
 				return true
 			}
-			return m.Lane() == peerwire.Data && loss > 0 && rapid.IntRange(0, 99).Draw(rt, "loss") < loss
+			return m.Lane() == peerwire.Data && lossPercent > 0 && rapid.IntRange(0, 99).Draw(rt, "loss") < lossPercent
 		}
 		w.backendResponse = func(b backendMessage) *message.Outgoing {
 			o := &message.Outgoing{Type: message.Acknowledgement, Code: message.Content, ID: b.m.ID, Token: b.m.Token}
@@ -58,7 +58,7 @@
 				o = &message.Outgoing{Type: message.Reset, ID: b.m.ID}
 			}
 			payload := string(b.m.Raw[len(b.m.Raw)-8:])
-			if c := claims[payload]; c != nil && b.m.Code == message.POST {
+			if c := requestByPayload[payload]; c != nil && b.m.Code == message.POST {
 				c.runs++
 			}
 			if o != nil && o.Type != message.Reset {
@@ -67,8 +67,8 @@
 			return o
 		}
 		send := func(c *tokenRequest) { w.send(rapid.IntRange(0, 2).Draw(rt, "at"), c.caller, c.request) }
-		grant := func() {
-			n := len(order)
+		obtainToken := func() {
+			n := len(requests)
 			c := &tokenRequest{caller: callerN(n + 1), request: post(uint16(n), fmt.Sprintf("claim%03d", n))}
 			w.send(rapid.IntRange(0, 2).Draw(rt, "at"), c.caller, c.request)
 			for _, r := range w.responses(c.caller) {
@@ -80,38 +80,38 @@
 			// From here on, replies to this endpoint are replies to the request
 			// with the token.
 			c.caller = callerN(n + 101)
-			claims[c.request.payload] = c
-			order = append(order, c)
+			requestByPayload[c.request.payload] = c
+			requests = append(requests, c)
 			send(c)
 		}
 		for range rapid.IntRange(5, 40).Draw(rt, "steps") {
 			switch op := rapid.IntRange(0, 9).Draw(rt, "op"); {
-			case op <= 2 && len(order) < 90:
-				grant()
-			case op <= 5 && len(order) > 0:
-				send(order[rapid.IntRange(0, len(order)-1).Draw(rt, "claim")])
+			case op <= 2 && len(requests) < 90:
+				obtainToken()
+			case op <= 5 && len(requests) > 0:
+				send(requests[rapid.IntRange(0, len(requests)-1).Draw(rt, "claim")])
 			case op == 6:
 				i := rapid.IntRange(0, 2).Draw(rt, "pause")
 				w.paused[i] = !w.paused[i] || w.exited[i]
-			case op == 7 && len(order) > 3:
+			case op == 7 && len(requests) > 3:
 				w.callCore(rapid.IntRange(0, 2).Draw(rt, "stop"), func(c *Core, out *Effects) { c.Stop(w.now, out) })
 			case op == 9:
-				split = rapid.SampledFrom([]ids.Instance{"", "", "i0", "i1"}).Draw(rt, "split")
+				partitioned = rapid.SampledFrom([]ids.Instance{"", "", "i0", "i1"}).Draw(rt, "split")
 			case op == 8:
-				loss = rapid.SampledFrom([]int{0, 0, 30}).Draw(rt, "rate")
+				lossPercent = rapid.SampledFrom([]int{0, 0, 30}).Draw(rt, "rate")
 			}
 			w.backendRunTime = time.Duration(rapid.SampledFrom([]int{5, 5, 400, 3000}).Draw(rt, "run")) * time.Millisecond
 			w.advance(time.Duration(rapid.SampledFrom([]int{0, 3, 20, 500, 3000, 12000}).Draw(rt, "wait")) * time.Millisecond)
 		}
-		loss, split = 0, ""
+		lossPercent, partitioned = 0, ""
 		for range 2 {
 			w.advance(8 * time.Second)
-			for _, c := range order {
+			for _, c := range requests {
 				send(c)
 			}
 		}
 		w.advance(8 * time.Second)
-		for _, c := range order {
+		for _, c := range requests {
 			assert.Assert(rt, c.runs <= 1, "%s ran %d times", c.request.payload, c.runs)
 			for _, r := range w.responses(c.caller) {
 				switch r.m.Code {
@@ -135,11 +135,11 @@
 		w := newTestCluster(rt, 3, service)
 		w.ackConfirmables = true
 		w.openFeed(0)
-		loss, stopped := 0, false
+		lossPercent, stopped := 0, false
 		w.dropPeerMessage = func(_, _ ids.Instance, m *peerwire.Message) bool {
-			return m.Lane() == peerwire.Data && loss > 0 && rapid.IntRange(0, 99).Draw(rt, "loss") < loss
+			return m.Lane() == peerwire.Data && lossPercent > 0 && rapid.IntRange(0, 99).Draw(rt, "loss") < lossPercent
 		}
-		holders := func() (list []int) {
+		feedHomes := func() (list []int) {
 			for i := range w.cores {
 				if f := w.findFeed(i); f != nil && f.Active.Established && !w.exited[i] {
 					list = append(list, i)
@@ -162,23 +162,23 @@
 					w.callCore(i, func(c *Core, out *Effects) { c.begin(w.now, out); c.installService(&changed) })
 				}
 			case 2:
-				loss = rapid.SampledFrom([]int{0, 20}).Draw(rt, "rate")
+				lossPercent = rapid.SampledFrom([]int{0, 20}).Draw(rt, "rate")
 			default:
-				for _, i := range holders() {
+				for _, i := range feedHomes() {
 					w.notifyFeed(i, w.observeValue()+1)
 				}
 			}
 			w.advance(time.Duration(rapid.SampledFrom([]int{1, 50, 1000, 5000}).Draw(rt, "wait")) * time.Millisecond)
-			assert.Assert(rt, len(holders()) > 0, "the feed is interrupted")
+			assert.Assert(rt, len(feedHomes()) > 0, "the feed is interrupted")
 		}
-		loss = 0
+		lossPercent = 0
 		w.advance(30 * time.Second)
-		assert.Equal(rt, len(holders()), 1)
+		assert.Equal(rt, len(feedHomes()), 1)
 		last := uint32(0)
 		for _, r := range w.responses(callerA) {
 			last = max(last, r.m.Observe)
 		}
-		w.notifyFeed(holders()[0], w.observeValue()+1)
+		w.notifyFeed(feedHomes()[0], w.observeValue()+1)
 		w.advance(10 * time.Millisecond)
 		got := w.responses(callerA)
 		assert.Assert(rt, got[len(got)-1].m.Observe > last)
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -30,7 +30,7 @@
 	now             ids.Time
 	cores           []*Core
 	paused          map[int]bool
-	dropPeerMessage func(from, to ids.Instance, m *peerwire.Message) bool // drops a peer message
+	dropPeerMessage func(from, to ids.Instance, m *peerwire.Message) bool // reports whether a peer message is lost
 	scheduled       []scheduledCall
 	backendRunTime  time.Duration
 	// backendResponse returns the response of a backend server, nil for no
--- a/internal/core/inspect.go
+++ b/internal/core/inspect.go
@@ -10,7 +10,7 @@
 )
 
 // Revision returns the configuration revision in force.
-func (c *Core) Revision() ids.Revision { return c.store.Revision() }
+func (c *Core) Revision() ids.Revision { return c.configStore.Revision() }
 
 // Services appends the configured services to dst in order of name.
 func (c *Core) Services(dst []config.Service) []config.Service {
--- a/internal/core/long.go
+++ b/internal/core/long.go
@@ -101,7 +101,7 @@
 
 // reportLongCount reports to all co-owners at once when the number of long
 // requests here has changed while the limit over all owners applies, or when
-// requests with a further key have been found to be long. With outdated
+// requests with another key turn out to be long. With outdated
 // numbers, several owners together could exceed the limit.
 func (c *Core) reportLongCount(s *service) {
 	if s.pool == nil || s.ownedSlots() == 0 || len(s.peers) > maxScannedPeers {
--- a/internal/core/long_test.go
+++ b/internal/core/long_test.go
@@ -66,7 +66,7 @@
 
 // Guards against owners that each treat a long request as short at first,
 // although another owner has already learned its run time.
-func TestLongRequestsAreKnownToCoOwners(t *testing.T) {
+func TestCoOwnersLearnLongRunTimes(t *testing.T) {
 	w := newLongRequestCluster(t)
 	d := longGet(1).encode(t)
 	for i, c := range w.cores {
@@ -86,12 +86,12 @@
 		w.send(n%5, callerN(n), longGet(uint16(2000+n)))
 		w.advance(5 * time.Millisecond)
 	}
-	most := 0
+	maxLongRequests := 0
 	for range 150 { // less than the 250 ms after which the limit may be exceeded
 		w.advance(time.Millisecond)
-		most = max(most, w.longRequests())
+		maxLongRequests = max(maxLongRequests, w.longRequests())
 	}
-	assert.Equal(t, most, 4, "60%% of 8 slots, rounded down")
+	assert.Equal(t, maxLongRequests, 4, "60%% of 8 slots, rounded down")
 	w.advance(4 * time.Second)
 	for n := range 12 {
 		got := w.responses(callerN(n))
@@ -108,33 +108,33 @@
 	w.dropPeerMessage = func(from, to ids.Instance, _ *peerwire.Message) bool {
 		return from == instanceID(0) || to == instanceID(0)
 	}
-	claim := func() {
+	reportFullLimit := func() {
 		for _, p := range s.peers {
 			w.cores[0].recordLoad(p.id, &peerwire.Load{Service: "s", Slots: 1, Long: 50})
 		}
 	}
-	claim()
+	reportFullLimit()
 	w.callCore(0, func(c *Core, out *Effects) {
 		c.begin(w.now, out)
 		d := longGet(3000).encode(t)
-		c.enqueue(c.newRequest(&callerDatagram{callerExchange: callerExchange{svc: s, caller: callerA, id: d.ID, token: d.Token}, m: &d}), spread.Long)
+		c.enqueue(c.newRequest(&callerDatagram{callerExchange: callerExchange{svc: s, caller: callerA, messageID: d.ID, token: d.Token}, msg: &d}), spread.Long)
 	})
 	step := s.limiter.MaxQueueTime / longOverdueDivisor
 	for range step/time.Millisecond - 20 {
 		w.advance(time.Millisecond)
-		claim()
+		reportFullLimit()
 	}
 	assert.Equal(t, w.pool(0).LongInUse(), 0)
 	for range 50 {
 		w.advance(time.Millisecond)
-		claim()
+		reportFullLimit()
 	}
 	assert.Equal(t, w.pool(0).LongInUse(), 1)
 }
 
 // Guards against a short request that waits for the end of a long one at an
 // owner whose only slot the long one holds.
-func TestShortRequestLeavesOwnerOfLongOnes(t *testing.T) {
+func TestShortRequestIsRelayedFromOwnerWithLongRequest(t *testing.T) {
 	w := newLongRequestCluster(t)
 	owner := -1
 	for i := range w.cores {
@@ -149,7 +149,7 @@
 	w.callCore(owner, func(c *Core, out *Effects) {
 		c.begin(w.now, out)
 		d := get(4001).encode(t)
-		a := callerDatagram{callerExchange: callerExchange{svc: c.services["s"], caller: callerN(1), id: d.ID, token: d.Token}, m: &d}
+		a := callerDatagram{callerExchange: callerExchange{svc: c.services["s"], caller: callerN(1), messageID: d.ID, token: d.Token}, msg: &d}
 		c.enqueue(c.newRequest(&a), spread.Short)
 	})
 	w.advance(100 * time.Millisecond)
@@ -159,7 +159,7 @@
 // Guards against three faults when a queued request is relayed to another
 // instance: an empty ACK after the caller has already retransmitted, a deadline
 // that starts again, and a piggybacked response after an empty ACK.
-func TestRelayKeepsTimesOfRequest(t *testing.T) {
+func TestRelayKeepsArrivalAndDeadline(t *testing.T) {
 	for _, acked := range []bool{false, true} {
 		w := newLongRequestCluster(t)
 		w.ackConfirmables = false
@@ -168,7 +168,7 @@
 			c.begin(w.now, out)
 			d := longGet(5000).encode(t)
 			s := c.services["s"]
-			a := callerDatagram{callerExchange: callerExchange{svc: s, caller: callerA, id: d.ID, token: d.Token, acked: acked}, m: &d}
+			a := callerDatagram{callerExchange: callerExchange{svc: s, caller: callerA, messageID: d.ID, token: d.Token, acked: acked}, msg: &d}
 			r := c.newRequest(&a)
 			r.arrived, r.deadline = r.arrived.Add(-1300*time.Millisecond), r.deadline.Add(-1300*time.Millisecond)
 			s.partners[r.partner].queued[r.class]++
--- a/internal/core/mix_test.go
+++ b/internal/core/mix_test.go
@@ -50,7 +50,7 @@
 			}
 			return o
 		}
-		var plain []ids.Endpoint
+		var plainCallers []ids.Endpoint
 		for n := range rapid.IntRange(5, 60).Draw(rt, "steps") {
 			at, caller := pick(2, "at"), callerN(pick(6, "caller"))
 			switch pick(9, "op") {
@@ -75,7 +75,7 @@
 					d := get(uint16(n))
 					d.path = rapid.SampledFrom([]string{"x", "y"}).Draw(rt, "path")
 					c := callerN(100 + 40*n + k)
-					plain = append(plain, c)
+					plainCallers = append(plainCallers, c)
 					w.send(at, c, d)
 				}
 			}
@@ -83,7 +83,7 @@
 		}
 		faults = 0
 		w.advance(60 * time.Second)
-		for _, caller := range plain {
+		for _, caller := range plainCallers {
 			assert.Equal(rt, len(w.responses(caller)), 1, "%v", caller)
 		}
 		for i, c := range w.cores {
@@ -111,8 +111,8 @@
 			}
 		}
 	})
-	held := fmt.Sprint(len(c.liveRequests), len(c.requestsByKey), len(c.requestsByAdmission), len(c.upstreams)-registrations, s.backlog(), len(s.waitingForTarget), unacked)
-	assert.Equal(t, held, "0 0 0 0 0 0 0")
+	remaining := fmt.Sprint(len(c.liveRequests), len(c.requestsByKey), len(c.requestsByAdmission), len(c.upstreams)-registrations, s.backlog(), len(s.waitingForTarget), unacked)
+	assert.Equal(t, remaining, "0 0 0 0 0 0 0")
 	assert.Assert(t, len(c.upstreamTokens) <= registrations)
 	assert.Assert(t, !slices.ContainsFunc(s.partners, func(p partner) bool { return p.queued != [2]int{} }))
 	assert.Equal(t, s.pool.Free(spread.Short), s.pool.Capacity())
--- a/internal/core/once_test.go
+++ b/internal/core/once_test.go
@@ -11,6 +11,7 @@
 	"gotest.tools/v3/assert"
 )
 
+// assertResponse checks the code of the last response to callerA and returns it.
 func assertResponse(t *testing.T, w *testCluster, want message.Code) callerReply {
 	t.Helper()
 	got := w.responses(callerA)
@@ -22,7 +23,7 @@
 
 // Guards against a second execution after the instance that admitted the
 // request has failed.
-func TestOwnerGoneIsOutcomeUnknown(t *testing.T) {
+func TestFailedOwnerIsOutcomeUnknown(t *testing.T) {
 	w := newTestCluster(t, 3, testService("s", 6))
 	d := post(7, "claim")
 	d.echo = w.requestToken(0, callerA, d)
@@ -118,7 +119,7 @@
 
 // Guards against accepting a token of unknown origin, and against a "not run"
 // response for a token whose key may have been removed.
-func TestForeignTokens(t *testing.T) {
+func TestInvalidTokens(t *testing.T) {
 	w := newTestCluster(t, 2, testService("s", 4))
 	d := post(7, "claim")
 	d.echo = w.requestToken(0, callerA, d)
@@ -136,18 +137,18 @@
 // Guards against a non-idempotent request that is lost after a 5.03 response,
 // although it may be sent to another backend server, and against one that runs
 // after it was rejected.
-func TestShedRequest(t *testing.T) {
+func TestRequestRejectedByBackend(t *testing.T) {
 	w := newTestCluster(t, 2, testService("s", 4))
 	for _, c := range w.cores {
 		for range 20 {
 			c.services["s"].budget.Deposit()
 		}
 	}
-	sheds := 1
+	rejections := 1
 	w.backendResponse = func(b backendMessage) *message.Outgoing {
 		o := &message.Outgoing{Type: message.Acknowledgement, Code: message.Content, ID: b.m.ID, Token: b.m.Token}
-		if sheds > 0 {
-			sheds--
+		if rejections > 0 {
+			rejections--
 			o.Code = message.ServiceUnavailable
 		}
 		return o
@@ -161,7 +162,7 @@
 	assert.Equal(t, len(sent), 2)
 	assert.Assert(t, sent[0].target != sent[1].target)
 
-	sheds = 2
+	rejections = 2
 	d = post(8, "claim")
 	d.echo = w.requestToken(0, callerA, d)
 	w.send(0, callerA, d)
--- a/internal/core/peer.go
+++ b/internal/core/peer.go
@@ -25,7 +25,7 @@
 	switch {
 	case m.Heartbeat != nil:
 		c.membership.HandleHeartbeat(c.now, m.From, m.Heartbeat)
-		c.syncer.ObserveRevision(c.now, m.From, m.Heartbeat.Revision)
+		c.configSyncer.ObserveRevision(c.now, m.From, m.Heartbeat.Revision)
 	case m.MemberDelta != nil:
 		c.membership.HandleDelta(c.now, m.From, m.MemberDelta)
 	case m.ConfigRequest != nil:
@@ -58,16 +58,16 @@
 		c.counters.Malformed++
 		return
 	}
-	trace := c.lastTraceID
+	traceID := c.lastTraceID
 	if len(r.Trace) == 8 {
-		trace = binary.BigEndian.Uint64(r.Trace)
+		traceID = binary.BigEndian.Uint64(r.Trace)
 	}
 	c.refreshOwnership(s)
 	if p := s.peer(m.From); p != nil {
 		p.lastRelay = c.now
 		c.markBusy(s)
 	}
-	c.handleCallerDatagram(s, caller, e.RelayedDatagram, trace, r)
+	c.handleCallerDatagram(s, caller, e.RelayedDatagram, traceID, r)
 }
 
 // handleAckRoute records the instance to which ACKs or follow-up blocks of a
--- a/internal/core/relay.go
+++ b/internal/core/relay.go
@@ -12,15 +12,15 @@
 // relay sends a datagram to another instance, which responds to the caller
 // directly.
 func (c *Core) relay(d *callerDatagram, to ids.Instance) {
-	c.sendRelay(&d.callerExchange, d.m.Raw, d.age, d.hops, d.traceID, to)
+	c.sendRelay(&d.callerExchange, d.msg.Raw, d.age, d.hops, d.traceID, to)
 }
 
-func (c *Core) sendRelay(x *callerExchange, datagram []byte, age time.Duration, hops uint8, trace uint64, to ids.Instance) {
+func (c *Core) sendRelay(x *callerExchange, datagram []byte, age time.Duration, hops uint8, traceID uint64, to ids.Instance) {
 	s := x.svc
 	b := c.newPeerMessage(s)
-	binary.BigEndian.PutUint64(b.trace[:], trace)
+	binary.BigEndian.PutUint64(b.traceBytes[:], traceID)
 	b.relay = peerwire.Relay{
-		Service: s.name, Caller: b.formatEndpoint(x.caller), Datagram: datagram, Hops: hops + 1, Trace: b.trace[:],
+		Service: s.name, Caller: b.formatEndpoint(x.caller), Datagram: datagram, Hops: hops + 1, Trace: b.traceBytes[:],
 		AgeMS: uint32(age / time.Millisecond), Acked: x.acked,
 	}
 	b.message.Relay = &b.relay
@@ -29,7 +29,7 @@
 	}
 	c.sendPeerMessage(to, b)
 	c.counters.Relayed++
-	c.emitSpan(Relayed, s, trace, c.now)
+	c.emitSpan(Relayed, s, traceID, c.now)
 }
 
 // offerFreeSlots offers the free slots that no request is queued for here to
@@ -68,12 +68,12 @@
 	if s == nil {
 		return
 	}
-	left := int(m.Count)
+	remaining := int(m.Count)
 	s.queues[spread.Short].RemoveIf(func(r *request) bool {
-		if left == 0 || !c.relayable(r) {
+		if remaining == 0 || !c.relayable(r) {
 			return false
 		}
-		left--
+		remaining--
 		return true
 	}, func(r *request) { c.forwardQueued(r, from) })
 }
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -12,18 +12,18 @@
 
 // callerExchange holds what is needed to respond to a caller.
 type callerExchange struct {
-	svc    *service
-	caller ids.Endpoint
-	kind   message.Type
-	id     uint16
-	token  message.Token
-	acked  bool // an empty ACK was sent; the response follows separately
+	svc         *service
+	caller      ids.Endpoint
+	messageType message.Type
+	messageID   uint16
+	token       message.Token
+	acked       bool // an empty ACK was sent; the response follows separately
 }
 
 // callerDatagram is a datagram from a caller while it is being handled.
 type callerDatagram struct {
 	callerExchange
-	m       *message.Message
+	msg     *message.Message
 	hash    uint64        // hash of the caller endpoint
 	hops    uint8         // relays so far
 	age     time.Duration // time spent in queues of other instances
@@ -47,7 +47,7 @@
 //
 // Invariants: it holds a lease exactly while in flight; it has at most one
 // upstream token, which is removed when the lease is released; an admitted
-// request is sent again only after a backend server responded 5.03; it gets
+// request (one with a token) is sent again only after a backend server responded 5.03; it gets
 // exactly one final response.
 type request struct {
 	callerExchange
@@ -72,18 +72,18 @@
 	traceID       uint64
 	liveIndex     int // index in Core.liveRequests
 
-	pool          *spread.Pool
-	pinnedTarget  ids.Target // target that served the first block
-	avoidedTarget ids.Target // target that failed or responded 5.03
-	lease         spread.Lease
-	dispatched    ids.Time
-	attempts      int
-	mayHaveRun    bool // a backend server failed without stating that the request has not run
-	upstreamToken uint64
-	upstreamID    uint16
-	upstreamAcked bool
-	resends       int
-	resendAt      ids.Time
+	pool              *spread.Pool
+	pinnedTarget      ids.Target // target that served the first block
+	avoidedTarget     ids.Target // target that failed or responded 5.03
+	lease             spread.Lease
+	dispatched        ids.Time
+	attempts          int
+	mayHaveRun        bool // a backend server failed without stating that the request has not run
+	upstreamToken     uint64
+	upstreamMessageID uint16
+	upstreamAcked     bool
+	resends           int
+	resendAt          ids.Time
 }
 
 // upstream is the request or feed that an upstream token belongs to.
@@ -122,11 +122,11 @@
 	}
 	s := d.svc
 	*r = request{
-		callerExchange: d.callerExchange, hash: d.hash, datagram: append(r.datagram[:0], d.m.Raw...),
-		code: d.m.Code, path: d.m.Path, block1: d.m.Block1, hops: d.hops,
-		runTimeKey: s.runTimeKey(d.m), contentKey: s.contentKey(d.m),
-		idempotent: s.idempotent&(1<<d.m.Code) != 0,
-		partner:    s.partnerOf(d.m.Host, d.caller),
+		callerExchange: d.callerExchange, hash: d.hash, datagram: append(r.datagram[:0], d.msg.Raw...),
+		code: d.msg.Code, path: d.msg.Path, block1: d.msg.Block1, hops: d.hops,
+		runTimeKey: s.runTimeKey(d.msg), contentKey: s.contentKey(d.msg),
+		idempotent: s.idempotent&(1<<d.msg.Code) != 0,
+		partner:    s.partnerOf(d.msg.Host, d.caller),
 		arrived:    c.now.Add(-d.age), deadline: c.now.Add(s.config.Profile.Protect.Deadline - d.age),
 		traceID: d.traceID, liveIndex: len(c.liveRequests),
 	}
@@ -154,8 +154,8 @@
 // releases the slot. A response that arrives later is discarded.
 func (c *Core) endUpstreamExchange(r *request, o spread.Outcome) {
 	delete(c.upstreams, r.upstreamToken)
-	if c.upstreamTokens[r.upstreamID] == r.upstreamToken {
-		delete(c.upstreamTokens, r.upstreamID)
+	if c.upstreamTokens[r.upstreamMessageID] == r.upstreamToken {
+		delete(c.upstreamTokens, r.upstreamMessageID)
 	}
 	r.pool.Release(c.now, r.lease, r.runTimeKey, o)
 	if s := r.svc; o == spread.Success && r.class == spread.Short && r.pool.Classify(r.runTimeKey) == spread.Long {
--- a/internal/core/request_test.go
+++ b/internal/core/request_test.go
@@ -59,7 +59,7 @@
 
 // Guards against a response that reaches another caller, or is delivered after
 // the request has ended.
-func TestLateAndCrossedResponsesAreDropped(t *testing.T) {
+func TestLateAndMisaddressedResponsesAreDropped(t *testing.T) {
 	w := newTestCluster(t, 2, testService("s", 4))
 	w.backendResponse = func(backendMessage) *message.Outgoing { return nil }
 	w.send(0, callerA, get(1))
@@ -204,7 +204,7 @@
 	}
 	a := callerDatagram{callerExchange: callerExchange{svc: busy.services["s"], caller: callerN(99)}, hops: 0}
 	m := get(1).encode(t)
-	a.m, a.kind, a.id, a.token = &m, m.Type, m.ID, m.Token
+	a.msg, a.messageType, a.messageID, a.token = &m, m.Type, m.ID, m.Token
 	w.callCore(0, func(c *Core, out *Effects) {
 		c.begin(w.now, out)
 		c.enqueue(c.newRequest(&a), spread.Short)
@@ -226,7 +226,7 @@
 	w := newTestCluster(t, 2, testService("s", 4))
 	a := callerDatagram{callerExchange: callerExchange{svc: w.cores[0].services["s"], caller: callerA}}
 	m := get(1).encode(t)
-	a.m, a.kind, a.id, a.token = &m, m.Type, m.ID, m.Token
+	a.msg, a.messageType, a.messageID, a.token = &m, m.Type, m.ID, m.Token
 	w.callCore(0, func(c *Core, out *Effects) {
 		c.begin(w.now, out)
 		c.refreshOwnership(a.svc)
@@ -276,7 +276,7 @@
 	share := float64(served[true]) / float64(served[true]+served[false])
 	assert.Assert(t, share > 0.7125 && share < 0.7875, "share of a is %.3f", share)
 	assert.Assert(t, served[true]+served[false] > 1425, "%d served of 1500", served[true]+served[false])
-	t.Logf("share of a %.3f, %d served", share, served[true]+served[false])
+	t.Logf("partner a got a share of %.3f; %d requests were served", share, served[true]+served[false])
 }
 
 // Guards against the blocks of one transfer coming from different backend
@@ -386,7 +386,7 @@
 	w.callCore(0, func(c *Core, out *Effects) { // a token that names this instance, although it is busy
 		c.begin(w.now, out)
 		m := d.encode(t)
-		c.grant(&callerDatagram{callerExchange: callerExchange{svc: c.services["s"], caller: callerA}, m: &m}, c.self.ID, c.self.Incarnation)
+		c.grant(&callerDatagram{callerExchange: callerExchange{svc: c.services["s"], caller: callerA}, msg: &m}, c.self.ID, c.self.Incarnation)
 	})
 	d.echo = w.responses(callerA)[0].m.Echo
 	w.send(0, callerA, d)
--- a/internal/core/respond.go
+++ b/internal/core/respond.go
@@ -48,10 +48,10 @@
 func (c *Core) respond(x *callerExchange, o *message.Outgoing) {
 	o.Token = x.token
 	switch {
-	case x.kind != message.Confirmable:
+	case x.messageType != message.Confirmable:
 		o.Type, o.ID = message.NonConfirmable, flow.ResponseID(c.now)
 	case !x.acked:
-		o.Type, o.ID = message.Acknowledgement, x.id
+		o.Type, o.ID = message.Acknowledgement, x.messageID
 	default:
 		o.Type, o.ID = message.Confirmable, flow.ResponseID(c.now)
 		if q := c.awaitAck(x.svc, x.caller, o); q == nil {
@@ -67,7 +67,7 @@
 	x.acked = true
 	e := c.emit(ToCaller)
 	e.Service, e.Endpoint = x.svc.name, x.caller
-	e.Datagram = message.Outgoing{Type: message.Acknowledgement, ID: x.id}
+	e.Datagram = message.Outgoing{Type: message.Acknowledgement, ID: x.messageID}
 }
 
 // awaitAck keeps a copy of a confirmable message until it is acknowledged. It
--- a/internal/core/service.go
+++ b/internal/core/service.go
@@ -43,7 +43,7 @@
 	budget        admission.RetryBudget
 	retrySchedule share.RetryPacer
 
-	generation uint64
+	generation uint64 // Core.generation at the last refreshOwnership
 	pool       *spread.Pool
 	peers      []peer // other owners, sorted by id
 
@@ -80,7 +80,7 @@
 	lastRelay   ids.Time // time of the last relay from it
 }
 
-var methods = map[string]message.Code{
+var methodCodes = map[string]message.Code{
 	"GET": message.GET, "POST": message.POST, "PUT": message.PUT, "DELETE": message.DELETE,
 	"FETCH": message.FETCH, "PATCH": message.PATCH, "IPATCH": message.IPATCH, "iPATCH": message.IPATCH,
 }
@@ -92,11 +92,11 @@
 	s.config, s.removed = r, false
 	s.idempotent = 0
 	for _, m := range p.Protect.Idempotent {
-		s.idempotent |= 1 << methods[m]
+		s.idempotent |= 1 << methodCodes[m]
 	}
 	s.limiter = admission.Limiter{MaxQueueTime: p.Protect.QueueTime, Deadline: p.Protect.Deadline, MaxLength: p.Protect.QueueLength}
 	s.budget.Ratio = p.Protect.RetryRatio
-	s.retrySchedule.Min, s.retrySchedule.Max, s.retrySchedule.LoadFraction = p.Protect.RetryAfterMin, p.Protect.RetryAfterMax, returnRateFraction
+	s.retrySchedule.Min, s.retrySchedule.Max, s.retrySchedule.LoadFraction = p.Protect.RetryAfterMin, p.Protect.RetryAfterMax, callerRetryFraction
 
 	old := s.partners
 	s.partners = append(make([]partner, 0, len(p.Partners)+1), partner{Partner: config.Partner{Weight: 1}})
@@ -204,7 +204,7 @@
 	l.LongKey, l.LongRun = s.endedLongKey, uint32(s.endedLongRunTime/time.Millisecond)
 	if c.accepting() {
 		l.Free = uint16(max(0, s.pool.Free(spread.Short)))
-		l.Refuse = l.Free == 0 && !c.fits(s, spread.Short, 0)
+		l.Refuse = l.Free == 0 && !c.fitsQueue(s, spread.Short, 0)
 	}
 	return true
 }
--- a/internal/core/snapshot.go
+++ b/internal/core/snapshot.go
@@ -60,7 +60,7 @@
 	AgeMS    int64
 }
 
-var lifecycles = [...]string{"joining", "serving", "draining", "gone"}
+var lifecycleNames = [...]string{"joining", "serving", "draining", "gone"}
 
 // Counts returns the counters without the cost of a snapshot.
 func (c *Core) Counts() Counters { return c.counters }
@@ -69,8 +69,8 @@
 func (c *Core) Snapshot() Snapshot {
 	s := Snapshot{
 		Instance: c.self.ID, Incarnation: c.self.Incarnation, DataCentre: c.self.DataCentre,
-		Lifecycle: lifecycles[c.membership.State()], StopPhase: c.stop.phase.String(),
-		Revision: c.store.Revision(), Watcher: slices.Contains(config.Watchers(c.membership.Serving()), c.self.ID), Members: slices.Clone(c.membership.Members()),
+		Lifecycle: lifecycleNames[c.membership.State()], StopPhase: c.stop.phase.String(),
+		Revision: c.configStore.Revision(), Watcher: slices.Contains(config.Watchers(c.membership.Serving()), c.self.ID), Members: slices.Clone(c.membership.Members()),
 		Admissions: c.admissions.Len(), Feeds: c.feeds.Len(), Requests: len(c.liveRequests), Counters: c.counters,
 	}
 	for _, name := range slices.Sorted(maps.Keys(c.services)) {
@@ -128,12 +128,12 @@
 		return Explanation{Reason: "the service is not configured, or its profile is missing"}
 	}
 	c.refreshOwnership(s)
-	code := methods[q.Method]
+	code := methodCodes[q.Method]
 	d := callerDatagram{callerExchange: callerExchange{svc: s, caller: q.Caller}, hash: ids.HashEndpoint(q.Caller),
-		m: &message.Message{Code: code, Path: message.HashPath(q.Path), Host: []byte(q.Host)}}
+		msg: &message.Message{Code: code, Path: message.HashPath(q.Path), Host: []byte(q.Host)}}
 	x := Explanation{Known: true, Class: "short", Idempotent: s.idempotent&(1<<code) != 0}
 	x.Home, _ = c.homeInstance(s, d.hash)
-	partner := s.partnerOf(d.m.Host, q.Caller)
+	partner := s.partnerOf(d.msg.Host, q.Caller)
 	x.Partner = s.partners[partner].Name
 	class, free := c.canStartHere(s, &d)
 	if class == spread.Long {
@@ -146,7 +146,7 @@
 		x.Instance, x.Action, x.Reason = to, "relay", "the co-owner reported a free slot"
 	case ok:
 		x.Instance, x.Action, x.Reason = to, "relay", "no free slot is known, so the home decides"
-	case c.accepting() && c.fits(s, class, partner):
+	case c.accepting() && c.fitsQueue(s, class, partner):
 		x.Instance, x.Action, x.Reason = c.self.ID, "queue", "no slot is free and the queue fits the time limit"
 	default:
 		x.Action, x.Reason = "refuse", "the queue would exceed the time limit, or no slot is owned"
--- a/internal/core/tick.go
+++ b/internal/core/tick.go
@@ -20,7 +20,7 @@
 	c.lastTick = c.now
 	c.membership.Tick(c.now, c.emitPeerMessage)
 	c.checkMembership()
-	c.syncer.Tick(c.now, c.store, c.membership.Serving(), c.requestConfigFunc)
+	c.configSyncer.Tick(c.now, c.configStore, c.membership.Serving(), c.requestConfigFunc)
 	c.finishJoining()
 	c.slotTable.Tick(c.now, c.emitHealthCheck)
 	c.tickServices()
@@ -85,11 +85,11 @@
 // finishJoining ends the joining state once the membership view and the
 // configuration are up to date.
 func (c *Core) finishJoining() {
-	if c.membership.State() != peerwire.Joining || c.stop.phase != running || !c.membership.Synced() || !c.syncer.Ready() {
+	if c.membership.State() != peerwire.Joining || c.stop.phase != running || !c.membership.Synced() || !c.configSyncer.Ready() {
 		return
 	}
 	if c.membership.Fire(member.Ready) {
-		c.log("serving", "revision="+decimal(uint64(c.store.Revision())))
+		c.log("serving", "revision="+decimal(uint64(c.configStore.Revision())))
 		c.applyMembership()
 	}
 }
@@ -104,7 +104,7 @@
 	c.log("resumed", "pause="+pause.String())
 	if c.stop.phase == running {
 		c.membership.Fire(member.Resume)
-		c.syncer.Resume(c.now)
+		c.configSyncer.Resume(c.now)
 		c.applyMembership()
 	}
 	for _, s := range c.busyServices {
