--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -31,8 +31,8 @@
 }{{"targets=15", 15, 1, 5}, {"targets=29000", 29000, 6800, 2500}}
 
 func newCoreBenchmark(b *testing.B, targets, services, instances int) *coreBenchmark {
-	w := newTestCluster(b, 1, testService("s", 1))
-	x := &coreBenchmark{core: w.cores[0], now: w.now}
+	tc := newTestCluster(b, 1, testService("s", 1))
+	x := &coreBenchmark{core: tc.cores[0], now: tc.now}
 	x.core.begin(x.now, &x.effects)
 	var serving []ids.Instance
 	for i := range instances {
@@ -126,7 +126,7 @@
 func BenchmarkAdmit(b *testing.B) {
 	eachSize(b, func(b *testing.B, x *coreBenchmark) {
 		m := post(1, "claim").encode(b)
-		grant := &callerDatagram{callerExchange: callerExchange{svc: x.service, caller: callerA}, msg: &m}
+		firstRequest := &callerDatagram{callerExchange: callerExchange{svc: x.service, caller: callerA}, msg: &m}
 		admitted := m
 		e := &CallerEvent{Service: x.service.name, Caller: callerA, Message: &admitted}
 		var echoes [1000][admission.TokenSize]byte
@@ -141,7 +141,7 @@
 				for i := range echoes {
 					x.effects.Reset()
 					x.core.begin(x.now, &x.effects)
-					x.core.grant(grant, x.core.self.ID, x.core.self.Incarnation)
+					x.core.grant(firstRequest, x.core.self.ID, x.core.self.Incarnation)
 					copy(echoes[i][:], x.effects.List[0].Datagram.Echo)
 				}
 				b.StartTimer()
--- a/internal/core/blockroute_test.go
+++ b/internal/core/blockroute_test.go
@@ -14,26 +14,26 @@
 // s.
 func TestFollowUpBlocksSurviveLossOfInstance(t *testing.T) {
 	const callers = 20
-	w := newTestCluster(t, 3, testService("s", 6))
+	tc := newTestCluster(t, 3, testService("s", 6))
 	for n := range callers {
 		m := get(1).encode(t)
-		w.backendResponse = func(b backendMessage) *message.Outgoing {
+		tc.backendResponse = func(b backendMessage) *message.Outgoing {
 			raw := withBlock2(t, []byte{0x60, byte(message.Content), 0, 0}, 8|2).Raw
 			return &message.Outgoing{Template: raw, Type: message.Acknowledgement, ID: b.m.ID, Token: b.m.Token}
 		}
-		w.sendMessage(n%3, callerN(n), &m)
-		w.advance(50 * time.Millisecond)
-		assert.Equal(t, len(w.responses(callerN(n))), 1)
+		tc.sendMessage(n%3, callerN(n), &m)
+		tc.advance(50 * time.Millisecond)
+		assert.Equal(t, len(tc.responses(callerN(n))), 1)
 	}
-	w.paused[2] = true
-	w.advance(5 * time.Second)
-	w.clearRecords()
+	tc.paused[2] = true
+	tc.advance(5 * time.Second)
+	tc.clearRecords()
 	for n := range callers {
 		d := get(2)
 		m := d.encode(t)
 		m = withBlock2(t, m.Raw, 1<<4|2)
-		w.sendMessage(n%2, callerN(n), &m)
-		w.advance(100 * time.Millisecond)
-		assert.Equal(t, len(w.responses(callerN(n))), 1, "caller %d", n)
+		tc.sendMessage(n%2, callerN(n), &m)
+		tc.advance(100 * time.Millisecond)
+		assert.Equal(t, len(tc.responses(callerN(n))), 1, "caller %d", n)
 	}
 }
--- a/internal/core/caller.go
+++ b/internal/core/caller.go
@@ -172,7 +172,8 @@
 	c.enqueue(c.newRequest(d), class)
 }
 
-// serveHere starts, queues or rejects a request that no other instance may serve.
+// serveHere starts, queues or rejects a request that no other instance may
+// serve.
 func (c *Core) serveHere(r *request) {
 	s := r.svc
 	class := spread.Short
--- a/internal/core/config_test.go
+++ b/internal/core/config_test.go
@@ -24,14 +24,14 @@
 }
 
 // publish passes documents to core i as the result of reading the platform.
-func (w *testCluster) publish(i int, upto ids.Revision, documents ...Publication) {
-	w.callCore(i, func(c *Core, out *Effects) {
-		c.HandleConfig(w.now, &ConfigEvent{Documents: documents, Revision: upto}, out)
+func (tc *testCluster) publish(i int, upto ids.Revision, documents ...Publication) {
+	tc.callCore(i, func(c *Core, out *Effects) {
+		c.HandleConfig(tc.now, &ConfigEvent{Documents: documents, Revision: upto}, out)
 	})
 }
 
-func (w *testCluster) targetCount(i int) int {
-	s := w.cores[i].services["d"]
+func (tc *testCluster) targetCount(i int) int {
+	s := tc.cores[i].services["d"]
 	if s == nil || s.removed {
 		return 0
 	}
@@ -42,76 +42,76 @@
 // against a rollback by a stale read or peer, and against an invalid document
 // that replaces a valid one.
 func TestConfigurationSpreadsAndIsNeverRolledBack(t *testing.T) {
-	w := newTestCluster(t, 3, testService("s", 3))
-	w.publish(0, 2, Publication{"profile/standard", 1, []byte(profileDocument)}, Publication{"service/d", 2, serviceDocument(0, 1)})
-	w.advance(3 * time.Second)
-	for i := range w.cores {
-		assert.Equal(t, w.targetCount(i), 2)
-		assert.Equal(t, w.cores[i].configStore.Revision(), ids.Revision(2))
+	tc := newTestCluster(t, 3, testService("s", 3))
+	tc.publish(0, 2, Publication{"profile/standard", 1, []byte(profileDocument)}, Publication{"service/d", 2, serviceDocument(0, 1)})
+	tc.advance(3 * time.Second)
+	for i := range tc.cores {
+		assert.Equal(t, tc.targetCount(i), 2)
+		assert.Equal(t, tc.cores[i].configStore.Revision(), ids.Revision(2))
 	}
-	w.publish(1, 3, Publication{"service/d", 3, serviceDocument(0, 1, 2)})
-	w.publish(0, 2, Publication{"service/d", 2, serviceDocument(0, 1)})
-	w.advance(3 * time.Second)
-	w.publish(2, 1, Publication{"service/d", 1, serviceDocument(0)})
-	w.publish(2, 4, Publication{"service/d", 4, []byte("port = 0\n")})
-	w.callCore(2, func(c *Core, out *Effects) {
-		c.HandlePeer(w.now, &PeerEvent{Message: &peerwire.Message{From: "i0", Incarnation: 1, ConfigDelta: &peerwire.ConfigDelta{
+	tc.publish(1, 3, Publication{"service/d", 3, serviceDocument(0, 1, 2)})
+	tc.publish(0, 2, Publication{"service/d", 2, serviceDocument(0, 1)})
+	tc.advance(3 * time.Second)
+	tc.publish(2, 1, Publication{"service/d", 1, serviceDocument(0)})
+	tc.publish(2, 4, Publication{"service/d", 4, []byte("port = 0\n")})
+	tc.callCore(2, func(c *Core, out *Effects) {
+		c.HandlePeer(tc.now, &PeerEvent{Message: &peerwire.Message{From: "i0", Incarnation: 1, ConfigDelta: &peerwire.ConfigDelta{
 			Upto: 1, Documents: []peerwire.Document{{Key: "service/d", Revision: 1, Value: serviceDocument(0)}}}}}, out)
 	})
-	w.advance(3 * time.Second)
-	for i := range w.cores {
-		assert.Equal(t, w.targetCount(i), 3)
-		assert.Equal(t, w.cores[i].configStore.Revision(), ids.Revision(4))
+	tc.advance(3 * time.Second)
+	for i := range tc.cores {
+		assert.Equal(t, tc.targetCount(i), 3)
+		assert.Equal(t, tc.cores[i].configStore.Revision(), ids.Revision(4))
 	}
 }
 
 // Guards against a removed service that keeps requests in its queue, or
 // responds "not run" to a request that has run.
 func TestRemovedService(t *testing.T) {
-	w := newTestCluster(t, 1, testService("s", 1))
-	w.publish(0, 2, Publication{"profile/standard", 1, []byte(profileDocument)}, Publication{"service/d", 2, serviceDocument(0)})
-	delete(w.cores[0].services, "s")
+	tc := newTestCluster(t, 1, testService("s", 1))
+	tc.publish(0, 2, Publication{"profile/standard", 1, []byte(profileDocument)}, Publication{"service/d", 2, serviceDocument(0)})
+	delete(tc.cores[0].services, "s")
 	d := post(7, "claim")
-	d.echo = w.requestToken(0, callerA, d)
-	w.send(0, callerA, d)
-	w.advance(50 * time.Millisecond)
-	assertResponse(t, w, message.Content)
-	w.backendRunTime = time.Second
+	d.echo = tc.requestToken(0, callerA, d)
+	tc.send(0, callerA, d)
+	tc.advance(50 * time.Millisecond)
+	assertResponse(t, tc, message.Content)
+	tc.backendRunTime = time.Second
 	for n := range 6 {
-		w.send(0, callerN(n+1), get(1))
+		tc.send(0, callerN(n+1), get(1))
 	}
-	w.publish(0, 3, Publication{"service/d", 3, nil})
-	w.advance(100 * time.Millisecond)
+	tc.publish(0, 3, Publication{"service/d", 3, nil})
+	tc.advance(100 * time.Millisecond)
 	for n := 4; n < 6; n++ {
-		got := w.responses(callerN(n + 1))
+		got := tc.responses(callerN(n + 1))
 		assert.Equal(t, got[len(got)-1].m.Code, message.ServiceUnavailable)
 	}
-	w.send(0, callerA, d)
-	assertResponse(t, w, message.Content)
-	w.send(0, callerA, post(9, "x"))
-	assertResponse(t, w, message.ServiceUnavailable)
-	w.advance(2 * time.Second)
-	assert.Equal(t, len(w.cores[0].liveRequests), 0)
-	assert.Equal(t, len(w.receivedByBackends(message.POST)), 1)
+	tc.send(0, callerA, d)
+	assertResponse(t, tc, message.Content)
+	tc.send(0, callerA, post(9, "x"))
+	assertResponse(t, tc, message.ServiceUnavailable)
+	tc.advance(2 * time.Second)
+	assert.Equal(t, len(tc.cores[0].liveRequests), 0)
+	assert.Equal(t, len(tc.receivedByBackends(message.POST)), 1)
 }
 
 // Guards against an instance that joins without a configuration, or with an old
 // one, while its peers have a newer one.
 func TestJoiningInstanceLearnsFromPeers(t *testing.T) {
-	w := newTestCluster(t, 3, testService("s", 3))
-	w.publish(0, 2, Publication{"profile/standard", 1, []byte(profileDocument)}, Publication{"service/d", 2, serviceDocument(0, 1)})
-	w.advance(2 * time.Second)
-	w.paused[2] = true
-	w.advance(10 * time.Second)
-	w.startInstance(3, 2, testService("s", 3), 77)
-	w.paused[2] = false
-	start := w.now
-	w.dropPeerMessage = func(_, to ids.Instance, m *peerwire.Message) bool { // the membership view is complete before the configuration
-		return to == "i2" && m.ConfigDelta != nil && w.now.Sub(start) < 1500*time.Millisecond
+	tc := newTestCluster(t, 3, testService("s", 3))
+	tc.publish(0, 2, Publication{"profile/standard", 1, []byte(profileDocument)}, Publication{"service/d", 2, serviceDocument(0, 1)})
+	tc.advance(2 * time.Second)
+	tc.paused[2] = true
+	tc.advance(10 * time.Second)
+	tc.startInstance(3, 2, testService("s", 3), 77)
+	tc.paused[2] = false
+	start := tc.now
+	tc.dropPeerMessage = func(_, to ids.Instance, m *peerwire.Message) bool { // the membership view is complete before the configuration
+		return to == "i2" && m.ConfigDelta != nil && tc.now.Sub(start) < 1500*time.Millisecond
 	}
-	for n := 0; w.cores[2].membership.State() != peerwire.Serving; n++ {
+	for n := 0; tc.cores[2].membership.State() != peerwire.Serving; n++ {
 		assert.Assert(t, n < 1000, "did not join within 10 s")
-		w.advance(10 * time.Millisecond)
+		tc.advance(10 * time.Millisecond)
 	}
-	assert.Equal(t, w.targetCount(2), 2)
+	assert.Equal(t, tc.targetCount(2), 2)
 }
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -149,7 +149,7 @@
 // dispatchWaitingForTarget sends the follow-up blocks whose target has a free
 // slot, and sends those that have waited too long to any target.
 func (c *Core) dispatchWaitingForTarget(s *service) {
-	kept := s.waitingForTarget[:0]
+	stillWaiting := s.waitingForTarget[:0]
 	for _, r := range s.waitingForTarget {
 		if c.now.Add(s.pool.RunTime()) > r.deadline {
 			c.reject(r)
@@ -162,11 +162,11 @@
 			r.pinnedTarget = ""
 			c.startOrQueue(r)
 		default:
-			kept = append(kept, r)
+			stillWaiting = append(stillWaiting, r)
 		}
 	}
-	clear(s.waitingForTarget[len(kept):])
-	s.waitingForTarget = kept
+	clear(s.waitingForTarget[len(stillWaiting):])
+	s.waitingForTarget = stillWaiting
 }
 
 // startOrQueue starts or queues a request that was accepted before.
--- a/internal/core/fuzz_test.go
+++ b/internal/core/fuzz_test.go
@@ -33,18 +33,18 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		service := testService("s", 4)
 		service.Profile.Protect.RetryRatio = 1 // so that the budget does not prevent a wrong retry
-		w := newTestCluster(rt, 3, service)
-		w.ackConfirmables = true
+		tc := newTestCluster(rt, 3, service)
+		tc.ackConfirmables = true
 		requestByPayload := map[string]*tokenRequest{}
 		var requests []*tokenRequest
 		lossPercent, partitioned := 0, ids.Instance("")
-		w.dropPeerMessage = func(from, to ids.Instance, m *peerwire.Message) bool {
+		tc.dropPeerMessage = func(from, to ids.Instance, m *peerwire.Message) bool {
 			if partitioned != "" && (from == partitioned || to == partitioned) {
 				return true
 			}
 			return m.Lane() == peerwire.Data && lossPercent > 0 && rapid.IntRange(0, 99).Draw(rt, "loss") < lossPercent
 		}
-		w.backendResponse = func(b backendMessage) *message.Outgoing {
+		tc.backendResponse = func(b backendMessage) *message.Outgoing {
 			o := &message.Outgoing{Type: message.Acknowledgement, Code: message.Content, ID: b.m.ID, Token: b.m.Token}
 			switch rapid.IntRange(0, 9).Draw(rt, "backend") {
 			case 0:
@@ -66,12 +66,12 @@
 			}
 			return o
 		}
-		send := func(c *tokenRequest) { w.send(rapid.IntRange(0, 2).Draw(rt, "at"), c.caller, c.request) }
+		send := func(c *tokenRequest) { tc.send(rapid.IntRange(0, 2).Draw(rt, "at"), c.caller, c.request) }
 		obtainToken := func() {
 			n := len(requests)
 			c := &tokenRequest{caller: callerN(n + 1), request: post(uint16(n), fmt.Sprintf("claim%03d", n))}
-			w.send(rapid.IntRange(0, 2).Draw(rt, "at"), c.caller, c.request)
-			for _, r := range w.responses(c.caller) {
+			tc.send(rapid.IntRange(0, 2).Draw(rt, "at"), c.caller, c.request)
+			for _, r := range tc.responses(c.caller) {
 				c.request.echo = r.m.Echo
 			}
 			if len(c.request.echo) == 0 {
@@ -92,28 +92,28 @@
 				send(requests[rapid.IntRange(0, len(requests)-1).Draw(rt, "claim")])
 			case op == 6:
 				i := rapid.IntRange(0, 2).Draw(rt, "pause")
-				w.paused[i] = !w.paused[i] || w.exited[i]
+				tc.paused[i] = !tc.paused[i] || tc.exited[i]
 			case op == 7 && len(requests) > 3:
-				w.callCore(rapid.IntRange(0, 2).Draw(rt, "stop"), func(c *Core, out *Effects) { c.Stop(w.now, out) })
+				tc.callCore(rapid.IntRange(0, 2).Draw(rt, "stop"), func(c *Core, out *Effects) { c.Stop(tc.now, out) })
 			case op == 9:
 				partitioned = rapid.SampledFrom([]ids.Instance{"", "", "i0", "i1"}).Draw(rt, "split")
 			case op == 8:
 				lossPercent = rapid.SampledFrom([]int{0, 0, 30}).Draw(rt, "rate")
 			}
-			w.backendRunTime = time.Duration(rapid.SampledFrom([]int{5, 5, 400, 3000}).Draw(rt, "run")) * time.Millisecond
-			w.advance(time.Duration(rapid.SampledFrom([]int{0, 3, 20, 500, 3000, 12000}).Draw(rt, "wait")) * time.Millisecond)
+			tc.backendRunTime = time.Duration(rapid.SampledFrom([]int{5, 5, 400, 3000}).Draw(rt, "run")) * time.Millisecond
+			tc.advance(time.Duration(rapid.SampledFrom([]int{0, 3, 20, 500, 3000, 12000}).Draw(rt, "wait")) * time.Millisecond)
 		}
 		lossPercent, partitioned = 0, ""
 		for range 2 {
-			w.advance(8 * time.Second)
+			tc.advance(8 * time.Second)
 			for _, c := range requests {
 				send(c)
 			}
 		}
-		w.advance(8 * time.Second)
+		tc.advance(8 * time.Second)
 		for _, c := range requests {
 			assert.Assert(rt, c.runs <= 1, "%s ran %d times", c.request.payload, c.runs)
-			for _, r := range w.responses(c.caller) {
+			for _, r := range tc.responses(c.caller) {
 				switch r.m.Code {
 				case message.Content:
 					assert.Equal(rt, c.runs, 1)
@@ -132,16 +132,16 @@
 func TestFeedUnderPlannedChanges(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		service := testService("s", 4)
-		w := newTestCluster(rt, 3, service)
-		w.ackConfirmables = true
-		w.openFeed(0)
+		tc := newTestCluster(rt, 3, service)
+		tc.ackConfirmables = true
+		tc.openFeed(0)
 		lossPercent, stopped := 0, false
-		w.dropPeerMessage = func(_, _ ids.Instance, m *peerwire.Message) bool {
+		tc.dropPeerMessage = func(_, _ ids.Instance, m *peerwire.Message) bool {
 			return m.Lane() == peerwire.Data && lossPercent > 0 && rapid.IntRange(0, 99).Draw(rt, "loss") < lossPercent
 		}
 		feedHomes := func() (list []int) {
-			for i := range w.cores {
-				if f := w.findFeed(i); f != nil && f.Active.Established && !w.exited[i] {
+			for i := range tc.cores {
+				if f := tc.findFeed(i); f != nil && f.Active.Established && !tc.exited[i] {
 					list = append(list, i)
 				}
 			}
@@ -152,35 +152,35 @@
 			case 0:
 				if !stopped {
 					stopped = true
-					w.callCore(rapid.IntRange(0, 2).Draw(rt, "stop"), func(c *Core, out *Effects) { c.Stop(w.now, out) })
+					tc.callCore(rapid.IntRange(0, 2).Draw(rt, "stop"), func(c *Core, out *Effects) { c.Stop(tc.now, out) })
 				}
 			case 1:
 				changed := *service
 				changed.Service.Targets = slices.Clone(service.Service.Targets)
 				changed.Service.Targets[rapid.IntRange(0, 3).Draw(rt, "drain")].Draining = true
-				for i := range w.cores {
-					w.callCore(i, func(c *Core, out *Effects) { c.begin(w.now, out); c.installService(&changed) })
+				for i := range tc.cores {
+					tc.callCore(i, func(c *Core, out *Effects) { c.begin(tc.now, out); c.installService(&changed) })
 				}
 			case 2:
 				lossPercent = rapid.SampledFrom([]int{0, 20}).Draw(rt, "rate")
 			default:
 				for _, i := range feedHomes() {
-					w.notifyFeed(i, w.observeValue()+1)
+					tc.notifyFeed(i, tc.observeValue()+1)
 				}
 			}
-			w.advance(time.Duration(rapid.SampledFrom([]int{1, 50, 1000, 5000}).Draw(rt, "wait")) * time.Millisecond)
+			tc.advance(time.Duration(rapid.SampledFrom([]int{1, 50, 1000, 5000}).Draw(rt, "wait")) * time.Millisecond)
 			assert.Assert(rt, len(feedHomes()) > 0, "the feed is interrupted")
 		}
 		lossPercent = 0
-		w.advance(30 * time.Second)
+		tc.advance(30 * time.Second)
 		assert.Equal(rt, len(feedHomes()), 1)
 		last := uint32(0)
-		for _, r := range w.responses(callerA) {
+		for _, r := range tc.responses(callerA) {
 			last = max(last, r.m.Observe)
 		}
-		w.notifyFeed(feedHomes()[0], w.observeValue()+1)
-		w.advance(10 * time.Millisecond)
-		got := w.responses(callerA)
+		tc.notifyFeed(feedHomes()[0], tc.observeValue()+1)
+		tc.advance(10 * time.Millisecond)
+		got := tc.responses(callerA)
 		assert.Assert(rt, got[len(got)-1].m.Observe > last)
 	})
 }
@@ -188,18 +188,18 @@
 // Guards against decisions that depend on the iteration order of a map.
 func TestSameSeedSameDecisions(t *testing.T) {
 	run := func() string {
-		w := newTestCluster(t, 3, testService("s", 6))
+		tc := newTestCluster(t, 3, testService("s", 6))
 		for n := range 200 {
-			w.send(n%3, callerN(n), get(uint16(n)))
-			w.send(n%3, callerN(n), post(uint16(n+1000), "x"))
+			tc.send(n%3, callerN(n), get(uint16(n)))
+			tc.send(n%3, callerN(n), post(uint16(n+1000), "x"))
 			if n == 100 {
-				w.openFeed(1)
-				w.callCore(0, func(c *Core, out *Effects) { c.Stop(w.now, out) })
+				tc.openFeed(1)
+				tc.callCore(0, func(c *Core, out *Effects) { c.Stop(tc.now, out) })
 			}
-			w.advance(time.Millisecond)
+			tc.advance(time.Millisecond)
 		}
-		w.advance(10 * time.Second)
-		return fmt.Sprint(w.replies, w.backendReceived)
+		tc.advance(10 * time.Second)
+		return fmt.Sprint(tc.replies, tc.backendReceived)
 	}
 	first, second := run(), run()
 	assert.Assert(t, first == second)
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -93,74 +93,74 @@
 // newTestCluster starts n instances that serve r and waits until they have
 // joined.
 func newTestCluster(t assert.TestingT, n int, r *config.Resolved) *testCluster {
-	w := &testCluster{t: t, now: epoch, backendRunTime: 10 * time.Millisecond, paused: map[int]bool{}, exited: map[int]bool{}}
+	tc := &testCluster{t: t, now: epoch, backendRunTime: 10 * time.Millisecond, paused: map[int]bool{}, exited: map[int]bool{}}
 	for i := range n {
-		w.startInstance(n, i, r, ids.Incarnation(i+1))
+		tc.startInstance(n, i, r, ids.Incarnation(i+1))
 	}
-	w.advance(6 * time.Second)
-	for _, c := range w.cores {
+	tc.advance(6 * time.Second)
+	for _, c := range tc.cores {
 		assert.Equal(t, c.membership.State(), peerwire.Serving)
 		assert.Equal(t, len(c.membership.Serving()), n)
 	}
-	w.clearRecords()
-	return w
+	tc.clearRecords()
+	return tc
 }
 
-func (w *testCluster) startInstance(n, i int, r *config.Resolved, incarnation ids.Incarnation) {
+func (tc *testCluster) startInstance(n, i int, r *config.Resolved, incarnation ids.Incarnation) {
 	self := Self{ID: instanceID(i), Incarnation: incarnation, DataCentre: "dc", PeerAddr: fmt.Sprintf("127.0.0.1:%d", 9000+i), Linger: time.Second}
 	for k := range n {
 		if k != i {
 			self.Seeds = append(self.Seeds, member.Seed{ID: instanceID(k), DataCentre: "dc", PeerAddr: fmt.Sprintf("127.0.0.1:%d", 9000+k)})
 		}
 	}
-	c := New(self, testKeys(w.t), 42)
-	c.begin(w.now, new(Effects))
+	c := New(self, testKeys(tc.t), 42)
+	c.begin(tc.now, new(Effects))
 	c.installService(r)
-	if i < len(w.cores) {
-		w.cores[i] = c
+	if i < len(tc.cores) {
+		tc.cores[i] = c
 		return
 	}
-	w.cores = append(w.cores, c)
+	tc.cores = append(tc.cores, c)
 }
 
 func instanceID(i int) ids.Instance { return ids.Instance(fmt.Sprintf("i%d", i)) }
 
-func (w *testCluster) clearRecords() { w.backendReceived, w.replies = nil, nil }
+func (tc *testCluster) clearRecords() { tc.backendReceived, tc.replies = nil, nil }
 
-func (w *testCluster) schedule(d time.Duration, do func()) {
-	w.scheduled = append(w.scheduled, scheduledCall{w.now.Add(d), do})
+func (tc *testCluster) schedule(d time.Duration, do func()) {
+	tc.scheduled = append(tc.scheduled, scheduledCall{tc.now.Add(d), do})
 }
 
 // advance moves the clock in steps of a millisecond and ticks every 10 ms.
-func (w *testCluster) advance(d time.Duration) {
-	for end := w.now.Add(d); w.now < end; {
-		w.now += ms
-		due := slices.Clone(w.scheduled)
-		w.scheduled = w.scheduled[:0]
+func (tc *testCluster) advance(d time.Duration) {
+	for end := tc.now.Add(d); tc.now < end; {
+		tc.now += ms
+		due := slices.Clone(tc.scheduled)
+		tc.scheduled = tc.scheduled[:0]
 		for _, p := range due {
-			if p.at <= w.now {
+			if p.at <= tc.now {
 				p.run()
 			} else {
-				w.scheduled = append(w.scheduled, p)
+				tc.scheduled = append(tc.scheduled, p)
 			}
 		}
-		if w.now%(10*ms) == 0 {
-			for i := range w.cores {
-				w.callCore(i, func(c *Core, out *Effects) { c.Tick(w.now, out) })
+		if tc.now%(10*ms) == 0 {
+			for i := range tc.cores {
+				tc.callCore(i, func(c *Core, out *Effects) { c.Tick(tc.now, out) })
 			}
 		}
 	}
 }
 
 // callCore calls core i unless it is paused, and carries out the effects.
-func (w *testCluster) callCore(i int, f func(*Core, *Effects)) {
-	if w.paused[i] {
+func (tc *testCluster) callCore(i int, f func(*Core, *Effects)) {
+	if tc.paused[i] {
 		return
 	}
 	var out Effects
-	f(w.cores[i], &out)
+	f(tc.cores[i], &out)
 	for k := range out.List {
-		w.applyEffect(i, &out.List[k])
+		tc.applyEffect(i, &out.List[k])
 	}
 }
 
@@ -172,77 +172,77 @@
 	return m
 }
 
-func (w *testCluster) applyEffect(i int, e *Effect) {
+func (tc *testCluster) applyEffect(i int, e *Effect) {
 	switch e.Kind {
 	case ToCaller:
-		r := callerReply{w.now, i, e.Endpoint, decode(w.t, &e.Datagram)}
-		w.replies = append(w.replies, r)
-		if w.ackConfirmables && r.m.Type == message.Confirmable {
-			w.schedule(time.Millisecond, func() { w.sendEmpty(i, r.caller, message.Acknowledgement, r.m.ID) })
+		r := callerReply{tc.now, i, e.Endpoint, decode(tc.t, &e.Datagram)}
+		tc.replies = append(tc.replies, r)
+		if tc.ackConfirmables && r.m.Type == message.Confirmable {
+			tc.schedule(time.Millisecond, func() { tc.sendEmpty(i, r.caller, message.Acknowledgement, r.m.ID) })
 		}
 	case ToBackend:
-		w.deliverToBackend(backendMessage{w.now, i, e.Target, decode(w.t, &e.Datagram)}, e.Endpoint)
+		tc.deliverToBackend(backendMessage{tc.now, i, e.Target, decode(tc.t, &e.Datagram)}, e.Endpoint)
 	case ToPeer:
-		w.deliverPeerMessage(i, e.Instance, e.PeerMessage)
+		tc.deliverPeerMessage(i, e.Instance, e.PeerMessage)
 	case WatchConfig:
 		if !e.Watch {
-			w.schedule(time.Millisecond, func() {
-				w.callCore(i, func(c *Core, out *Effects) { c.HandleConfig(w.now, &ConfigEvent{}, out) })
+			tc.schedule(time.Millisecond, func() {
+				tc.callCore(i, func(c *Core, out *Effects) { c.HandleConfig(tc.now, &ConfigEvent{}, out) })
 			})
 		}
 	case Exit:
-		w.exited[i] = true
-		w.paused[i] = true
+		tc.exited[i] = true
+		tc.paused[i] = true
 	}
 }
 
-func (w *testCluster) deliverPeerMessage(from int, to ids.Instance, m *peerwire.Message) {
-	if w.dropPeerMessage != nil && w.dropPeerMessage(instanceID(from), to, m) {
+func (tc *testCluster) deliverPeerMessage(from int, to ids.Instance, m *peerwire.Message) {
+	if tc.dropPeerMessage != nil && tc.dropPeerMessage(instanceID(from), to, m) {
 		return
 	}
 	raw, err := peerwire.Encode(nil, m)
-	assert.NilError(w.t, err)
-	w.schedule(time.Millisecond, func() {
+	assert.NilError(tc.t, err)
+	tc.schedule(time.Millisecond, func() {
 		var got peerwire.Message
-		assert.NilError(w.t, peerwire.Decode(raw, &got))
+		assert.NilError(tc.t, peerwire.Decode(raw, &got))
 		e := &PeerEvent{Message: &got}
 		if got.Relay != nil {
 			e.RelayedDatagram = new(message.Message)
-			assert.NilError(w.t, message.Decode(got.Relay.Datagram, e.RelayedDatagram))
+			assert.NilError(tc.t, message.Decode(got.Relay.Datagram, e.RelayedDatagram))
 		}
-		for k := range w.cores {
+		for k := range tc.cores {
 			if instanceID(k) == to {
-				w.callCore(k, func(c *Core, out *Effects) { c.HandlePeer(w.now, e, out) })
+				tc.callCore(k, func(c *Core, out *Effects) { c.HandlePeer(tc.now, e, out) })
 			}
 		}
 	})
 }
 
-func (w *testCluster) deliverToBackend(b backendMessage, from ids.Endpoint) {
+func (tc *testCluster) deliverToBackend(b backendMessage, from ids.Endpoint) {
 	if b.m.Code == message.Empty {
-		w.backendReceived = append(w.backendReceived, b)
+		tc.backendReceived = append(tc.backendReceived, b)
 		return
 	}
-	w.backendReceived = append(w.backendReceived, b)
+	tc.backendReceived = append(tc.backendReceived, b)
 	o := &message.Outgoing{Type: message.Acknowledgement, Code: message.Content, ID: b.m.ID, Token: b.m.Token, Payload: []byte("ok")}
 	if b.m.HasObserve && b.m.Observe == 0 {
-		o.SetObserve, o.Observe = true, w.observeValue()
+		o.SetObserve, o.Observe = true, tc.observeValue()
 	}
-	if w.backendResponse != nil {
-		o = w.backendResponse(b)
+	if tc.backendResponse != nil {
+		o = tc.backendResponse(b)
 	}
 	if o != nil && b.m.Type == message.Confirmable {
-		w.schedule(w.backendRunTime, func() { w.fromBackend(b.core, from, o) })
+		tc.schedule(tc.backendRunTime, func() { tc.fromBackend(b.core, from, o) })
 	}
 }
 
 // observeValue returns the current Observe value of backend servers, which is
 // derived from the clock.
-func (w *testCluster) observeValue() uint32 { return uint32(w.now/ms) & 0xffffff }
+func (tc *testCluster) observeValue() uint32 { return uint32(tc.now/ms) & 0xffffff }
 
-func (w *testCluster) fromBackend(core int, from ids.Endpoint, o *message.Outgoing) {
-	m := decode(w.t, o)
-	w.callCore(core, func(c *Core, out *Effects) { c.HandleBackend(w.now, &BackendEvent{From: from, Message: &m}, out) })
+func (tc *testCluster) fromBackend(core int, from ids.Endpoint, o *message.Outgoing) {
+	m := decode(tc.t, o)
+	tc.callCore(core, func(c *Core, out *Effects) { c.HandleBackend(tc.now, &BackendEvent{From: from, Message: &m}, out) })
 }
 
 // testRequest describes a request datagram.
@@ -293,35 +293,35 @@
 }
 
 // send delivers a request to core i.
-func (w *testCluster) send(i int, caller ids.Endpoint, d testRequest) {
-	m := d.encode(w.t)
-	w.sendMessage(i, caller, &m)
+func (tc *testCluster) send(i int, caller ids.Endpoint, d testRequest) {
+	m := d.encode(tc.t)
+	tc.sendMessage(i, caller, &m)
 }
 
-func (w *testCluster) sendMessage(i int, caller ids.Endpoint, m *message.Message) {
-	w.callCore(i, func(c *Core, out *Effects) {
+func (tc *testCluster) sendMessage(i int, caller ids.Endpoint, m *message.Message) {
+	tc.callCore(i, func(c *Core, out *Effects) {
 		for s := range c.services {
-			c.HandleCaller(w.now, &CallerEvent{Service: s, Caller: caller, Message: m}, out)
+			c.HandleCaller(tc.now, &CallerEvent{Service: s, Caller: caller, Message: m}, out)
 		}
 	})
 }
 
 // sendEmpty delivers an ACK or RST to core i.
-func (w *testCluster) sendEmpty(i int, caller ids.Endpoint, kind message.Type, id uint16) {
-	m := decode(w.t, &message.Outgoing{Type: kind, ID: id})
-	w.sendMessage(i, caller, &m)
+func (tc *testCluster) sendEmpty(i int, caller ids.Endpoint, kind message.Type, id uint16) {
+	m := decode(tc.t, &message.Outgoing{Type: kind, ID: id})
+	tc.sendMessage(i, caller, &m)
 }
 
 // pool returns the pool of service s at core i.
-func (w *testCluster) pool(i int) *spread.Pool {
-	w.cores[i].refreshOwnership(w.cores[i].services["s"])
-	return w.cores[i].services["s"].pool
+func (tc *testCluster) pool(i int) *spread.Pool {
+	tc.cores[i].refreshOwnership(tc.cores[i].services["s"])
+	return tc.cores[i].services["s"].pool
 }
 
 // responses returns the replies to a caller except empty messages.
-func (w *testCluster) responses(caller ids.Endpoint) []callerReply {
+func (tc *testCluster) responses(caller ids.Endpoint) []callerReply {
 	var list []callerReply
-	for _, r := range w.replies {
+	for _, r := range tc.replies {
 		if r.caller == caller && r.m.Code != message.Empty {
 			list = append(list, r)
 		}
@@ -331,9 +331,9 @@
 
 // receivedByBackends returns the messages with the given code that backend
 // servers received.
-func (w *testCluster) receivedByBackends(code message.Code) []backendMessage {
+func (tc *testCluster) receivedByBackends(code message.Code) []backendMessage {
 	var list []backendMessage
-	for _, b := range w.backendReceived {
+	for _, b := range tc.backendReceived {
 		if b.m.Code == code {
 			list = append(list, b)
 		}
@@ -342,22 +342,22 @@
 }
 
 // requestToken obtains an admission token for caller through core i.
-func (w *testCluster) requestToken(i int, caller ids.Endpoint, d testRequest) []byte {
-	before := len(w.responses(caller))
+func (tc *testCluster) requestToken(i int, caller ids.Endpoint, d testRequest) []byte {
+	before := len(tc.responses(caller))
 	d.echo = nil
-	w.send(i, caller, d)
-	w.advance(5 * time.Millisecond)
-	got := w.responses(caller)
-	assert.Assert(w.t, len(got) > before, "no response")
+	tc.send(i, caller, d)
+	tc.advance(5 * time.Millisecond)
+	got := tc.responses(caller)
+	assert.Assert(tc.t, len(got) > before, "no response")
 	last := got[len(got)-1].m
-	assert.Equal(w.t, last.Code, message.Unauthorized)
-	assert.Equal(w.t, len(last.Echo), admission.TokenSize)
+	assert.Equal(tc.t, last.Code, message.Unauthorized)
+	assert.Equal(tc.t, len(last.Echo), admission.TokenSize)
 	return last.Echo
 }
 
 // tokenIssuer returns the index of the core that a token names.
-func (w *testCluster) tokenIssuer(echo []byte) int {
-	token, v := testKeys(w.t).Parse(echo, "s")
-	assert.Equal(w.t, v, admission.Valid)
+func (tc *testCluster) tokenIssuer(echo []byte) int {
+	token, v := testKeys(tc.t).Parse(echo, "s")
+	assert.Equal(tc.t, v, admission.Valid)
 	return int(token.Incarnation) - 1
 }
--- a/internal/core/memory_bench_test.go
+++ b/internal/core/memory_bench_test.go
@@ -17,8 +17,8 @@
 	for b.Loop() {
 		r := testService("s", 15)
 		r.Profile.Protect.MaxFeeds = feeds
-		w := newTestCluster(b, 1, r)
-		c, now, out := w.cores[0], w.now, new(Effects)
+		tc := newTestCluster(b, 1, r)
+		c, now, out := tc.cores[0], tc.now, new(Effects)
 		m := observeRequest(1).encode(b)
 		before := heapInUse()
 		for n := range feeds {
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -47,8 +47,8 @@
 //
 // Invariants: it holds a lease exactly while in flight; it has at most one
 // upstream token, which is removed when the lease is released; an admitted
-// request (one with a token) is sent again only after a backend server responded 5.03; it gets
-// exactly one final response.
+// request (one with a token) is sent again only after a backend server responded
+// 5.03; it gets exactly one final response.
 type request struct {
 	callerExchange
 	hash          uint64
--- a/internal/core/request_test.go
+++ b/internal/core/request_test.go
@@ -17,18 +17,18 @@
 // Guards against a request that is lost, answered twice, or answered by an
 // instance other than the one that serves it.
 func TestIdempotentRequestAtEveryInstance(t *testing.T) {
-	w := newTestCluster(t, 3, testService("s", 6))
+	tc := newTestCluster(t, 3, testService("s", 6))
 	for i := range 3 {
-		w.clearRecords()
-		w.send(i, callerA, get(uint16(i+1)))
-		w.advance(100 * time.Millisecond)
-		got := w.responses(callerA)
+		tc.clearRecords()
+		tc.send(i, callerA, get(uint16(i+1)))
+		tc.advance(100 * time.Millisecond)
+		got := tc.responses(callerA)
 		assert.Equal(t, len(got), 1)
 		assert.Equal(t, got[0].m.Code, message.Content)
 		assert.Equal(t, got[0].m.Type, message.Acknowledgement)
 		assert.Equal(t, got[0].m.ID, uint16(i+1))
-		assert.Equal(t, len(w.receivedByBackends(message.GET)), 1)
-		assert.Equal(t, got[0].core, w.receivedByBackends(message.GET)[0].core)
+		assert.Equal(t, len(tc.receivedByBackends(message.GET)), 1)
+		assert.Equal(t, got[0].core, tc.receivedByBackends(message.GET)[0].core)
 	}
 }
 
@@ -36,199 +36,199 @@
 // instances, while the request runs and after it has finished, also from a new
 // endpoint.
 func TestNonIdempotentRunsOnce(t *testing.T) {
-	w := newTestCluster(t, 3, testService("s", 6))
-	w.backendRunTime = 500 * time.Millisecond
+	tc := newTestCluster(t, 3, testService("s", 6))
+	tc.backendRunTime = 500 * time.Millisecond
 	d := post(7, "claim")
-	d.echo = w.requestToken(0, callerA, d)
-	assert.Equal(t, len(w.receivedByBackends(message.POST)), 0)
+	d.echo = tc.requestToken(0, callerA, d)
+	assert.Equal(t, len(tc.receivedByBackends(message.POST)), 0)
 	for i := range 3 {
-		w.send(i, callerA, d)
-		w.advance(20 * time.Millisecond)
+		tc.send(i, callerA, d)
+		tc.advance(20 * time.Millisecond)
 	}
-	w.advance(time.Second)
-	w.send(1, callerN(9), d)
-	w.send(2, callerA, d)
-	w.advance(100 * time.Millisecond)
-	assert.Equal(t, len(w.receivedByBackends(message.POST)), 1)
-	assert.Assert(t, w.receivedByBackends(message.POST)[0].m.Echo == nil, "the token reached the backend server")
-	for _, r := range w.responses(callerA)[1:] {
+	tc.advance(time.Second)
+	tc.send(1, callerN(9), d)
+	tc.send(2, callerA, d)
+	tc.advance(100 * time.Millisecond)
+	assert.Equal(t, len(tc.receivedByBackends(message.POST)), 1)
+	assert.Assert(t, tc.receivedByBackends(message.POST)[0].m.Echo == nil, "the token reached the backend server")
+	for _, r := range tc.responses(callerA)[1:] {
 		assert.Equal(t, r.m.Code, message.Content)
 	}
-	assert.Equal(t, w.responses(callerN(9))[0].m.Code, message.Content)
+	assert.Equal(t, tc.responses(callerN(9))[0].m.Code, message.Content)
 }
 
 // Guards against a response that reaches another caller, or is delivered after
 // the request has ended.
 func TestLateAndMisaddressedResponsesAreDropped(t *testing.T) {
-	w := newTestCluster(t, 2, testService("s", 4))
-	w.backendResponse = func(backendMessage) *message.Outgoing { return nil }
-	w.send(0, callerA, get(1))
-	w.advance(50 * time.Millisecond)
-	sent := w.receivedByBackends(message.GET)
+	tc := newTestCluster(t, 2, testService("s", 4))
+	tc.backendResponse = func(backendMessage) *message.Outgoing { return nil }
+	tc.send(0, callerA, get(1))
+	tc.advance(50 * time.Millisecond)
+	sent := tc.receivedByBackends(message.GET)
 	assert.Equal(t, len(sent), 1)
 	core, target := sent[0].core, sent[0].target
 	o := &message.Outgoing{Type: message.Confirmable, Code: message.Content, ID: 5, Token: sent[0].m.Token}
 	from, other := ids.Endpoint{}, ids.Endpoint{}
-	for _, x := range w.cores[0].services["s"].config.Service.Targets {
+	for _, x := range tc.cores[0].services["s"].config.Service.Targets {
 		if x.Name == target {
 			from = x.Address
 		} else {
 			other = x.Address
 		}
 	}
-	w.fromBackend(core, other, o)
-	assert.Equal(t, len(w.responses(callerA)), 0)
-	w.advance(5 * time.Second)
-	got := len(w.responses(callerA))
-	w.fromBackend(core, from, o)
-	assert.Equal(t, len(w.responses(callerA)), got)
-	resets := w.receivedByBackends(message.Empty)
+	tc.fromBackend(core, other, o)
+	assert.Equal(t, len(tc.responses(callerA)), 0)
+	tc.advance(5 * time.Second)
+	got := len(tc.responses(callerA))
+	tc.fromBackend(core, from, o)
+	assert.Equal(t, len(tc.responses(callerA)), got)
+	resets := tc.receivedByBackends(message.Empty)
 	assert.Equal(t, resets[len(resets)-1].m.Type, message.Reset)
-	assert.Equal(t, w.cores[core].counters.LateResponses, uint64(2))
-	assert.Equal(t, len(w.cores[core].upstreams)+len(w.cores[core].upstreamTokens)+len(w.cores[core].requestsByKey), 0)
+	assert.Equal(t, tc.cores[core].counters.LateResponses, uint64(2))
+	assert.Equal(t, len(tc.cores[core].upstreams)+len(tc.cores[core].upstreamTokens)+len(tc.cores[core].requestsByKey), 0)
 }
 
 // Guards against a separate response whose message ID, chosen by the backend
 // server, equals that of another request in flight there: only the token
 // identifies the request.
 func TestResponseIsMatchedByToken(t *testing.T) {
-	w := newTestCluster(t, 1, testService("s", 1))
-	w.backendResponse = func(backendMessage) *message.Outgoing { return nil }
-	w.send(0, callerN(1), get(1))
-	w.send(0, callerN(2), get(2))
-	sent := w.receivedByBackends(message.GET)
+	tc := newTestCluster(t, 1, testService("s", 1))
+	tc.backendResponse = func(backendMessage) *message.Outgoing { return nil }
+	tc.send(0, callerN(1), get(1))
+	tc.send(0, callerN(2), get(2))
+	sent := tc.receivedByBackends(message.GET)
 	assert.Equal(t, len(sent), 2)
-	w.fromBackend(0, w.cores[0].services["s"].config.Service.Targets[0].Address, &message.Outgoing{
+	tc.fromBackend(0, tc.cores[0].services["s"].config.Service.Targets[0].Address, &message.Outgoing{
 		Type: message.Confirmable, Code: message.Content, ID: sent[1].m.ID, Token: sent[0].m.Token})
-	assert.Equal(t, len(w.responses(callerN(1))), 1)
-	assert.Equal(t, len(w.responses(callerN(2))), 0)
+	assert.Equal(t, len(tc.responses(callerN(1))), 1)
+	assert.Equal(t, len(tc.responses(callerN(2))), 0)
 }
 
 // Guards against a backend server that keeps working on a request after the
 // caller has cancelled it.
 func TestCancelledRequestIsCancelledAtBackend(t *testing.T) {
-	w := newTestCluster(t, 1, testService("s", 2))
-	w.backendRunTime = time.Second
-	w.send(0, callerA, get(1))
-	w.sendEmpty(0, callerA, message.Reset, 1)
-	sent := w.receivedByBackends(message.GET)[0]
-	reset := w.receivedByBackends(message.Empty)[0]
+	tc := newTestCluster(t, 1, testService("s", 2))
+	tc.backendRunTime = time.Second
+	tc.send(0, callerA, get(1))
+	tc.sendEmpty(0, callerA, message.Reset, 1)
+	sent := tc.receivedByBackends(message.GET)[0]
+	reset := tc.receivedByBackends(message.Empty)[0]
 	assert.Equal(t, reset.m.ID, sent.m.ID)
-	assert.Equal(t, w.pool(0).Free(spread.Short), 4)
-	w.advance(2 * time.Second)
-	assert.Equal(t, len(w.responses(callerA)), 0)
+	assert.Equal(t, tc.pool(0).Free(spread.Short), 4)
+	tc.advance(2 * time.Second)
+	assert.Equal(t, len(tc.responses(callerA)), 0)
 }
 
 // Guards against a caller that retransmits while a request runs, and against a
 // lost ACK of a separate response: it may arrive at any instance.
 func TestSeparateResponseIsConfirmed(t *testing.T) {
-	w := newTestCluster(t, 3, testService("s", 6))
-	w.backendRunTime = 1700 * time.Millisecond
+	tc := newTestCluster(t, 3, testService("s", 6))
+	tc.backendRunTime = 1700 * time.Millisecond
 	for n := range 8 {
 		caller := callerN(n)
-		w.clearRecords()
-		w.send(n%3, caller, get(1))
-		w.advance(1550 * time.Millisecond)
-		assert.Equal(t, w.replies[0].m.Type, message.Acknowledgement)
-		assert.Equal(t, w.replies[0].m.Code, message.Empty)
-		w.send(n%3, caller, get(1)) // retransmission
-		w.advance(1900 * time.Millisecond)
-		got := w.responses(caller)
+		tc.clearRecords()
+		tc.send(n%3, caller, get(1))
+		tc.advance(1550 * time.Millisecond)
+		assert.Equal(t, tc.replies[0].m.Type, message.Acknowledgement)
+		assert.Equal(t, tc.replies[0].m.Code, message.Empty)
+		tc.send(n%3, caller, get(1)) // retransmission
+		tc.advance(1900 * time.Millisecond)
+		got := tc.responses(caller)
 		assert.Equal(t, len(got), 2, "the response is retransmitted until its ACK")
 		assert.Equal(t, got[0].m.Type, message.Confirmable)
 		assert.Equal(t, got[0].m.ID, got[1].m.ID)
-		w.sendEmpty((n+1)%3, caller, message.Acknowledgement, got[0].m.ID)
-		w.advance(20 * time.Second)
-		assert.Equal(t, len(w.responses(caller)), 2)
-		assert.Equal(t, len(w.receivedByBackends(message.GET)), 1)
+		tc.sendEmpty((n+1)%3, caller, message.Acknowledgement, got[0].m.ID)
+		tc.advance(20 * time.Second)
+		assert.Equal(t, len(tc.responses(caller)), 2)
+		assert.Equal(t, len(tc.receivedByBackends(message.GET)), 1)
 	}
 }
 
 // Guards against a rejection that is delayed, and against a queue that exceeds
 // the time limit.
 func TestOverloadIsRefusedAtOnce(t *testing.T) {
-	w := newTestCluster(t, 1, testService("s", 2))
-	w.backendRunTime = 200 * time.Millisecond
-	w.ackConfirmables = true
+	tc := newTestCluster(t, 1, testService("s", 2))
+	tc.backendRunTime = 200 * time.Millisecond
+	tc.ackConfirmables = true
 	for n := range 200 {
-		w.send(0, callerN(n), get(1))
+		tc.send(0, callerN(n), get(1))
 	}
 	refused := 0
-	for _, r := range w.replies {
+	for _, r := range tc.replies {
 		assert.Equal(t, r.m.Code, message.ServiceUnavailable)
 		assert.Assert(t, !bytes.HasSuffix(r.m.Raw, notRunPayload), "another instance may have run an idempotent request")
 		assert.Assert(t, r.m.MaxAge >= 1)
 		refused++
 	}
 	assert.Equal(t, refused, 200-4-100)
-	w.advance(6 * time.Second)
+	tc.advance(6 * time.Second)
 	finals := map[ids.Endpoint]int{}
 	for n := range 200 {
-		finals[callerN(n)] = len(w.responses(callerN(n)))
+		finals[callerN(n)] = len(tc.responses(callerN(n)))
 		assert.Equal(t, finals[callerN(n)], 1)
 	}
-	assert.Equal(t, len(w.cores[0].liveRequests)+w.cores[0].services["s"].backlog(), 0)
+	assert.Equal(t, len(tc.cores[0].liveRequests)+tc.cores[0].services["s"].backlog(), 0)
 }
 
 // Guards against an idempotent request that fails when its backend server
 // fails, and against retries beyond the budget.
 func TestFailedBackendIsRetriedWithinBudget(t *testing.T) {
-	w := newTestCluster(t, 1, testService("s", 3))
-	w.backendResponse = func(b backendMessage) *message.Outgoing {
+	tc := newTestCluster(t, 1, testService("s", 3))
+	tc.backendResponse = func(b backendMessage) *message.Outgoing {
 		if b.target == "t0" {
 			return &message.Outgoing{Type: message.Reset, ID: b.m.ID}
 		}
 		return &message.Outgoing{Type: message.Acknowledgement, Code: message.Content, ID: b.m.ID, Token: b.m.Token}
 	}
 	for range 20 {
-		w.cores[0].services["s"].budget.Deposit()
+		tc.cores[0].services["s"].budget.Deposit()
 	}
 	for n := range 40 {
-		w.send(0, callerN(n), get(1))
-		w.advance(30 * time.Millisecond)
-		code := w.responses(callerN(n))[0].m.Code
+		tc.send(0, callerN(n), get(1))
+		tc.advance(30 * time.Millisecond)
+		code := tc.responses(callerN(n))[0].m.Code
 		assert.Assert(t, n > 2 || code == message.Content, "%d: %x", n, code)
 	}
-	c := w.cores[0].counters
+	c := tc.cores[0].counters
 	assert.Assert(t, c.Retries >= 1 && c.Retries <= 6, "%d retries", c.Retries)
 }
 
 // Guards against a request that is queued at one instance while another has a
 // free slot.
 func TestFreeSlotTakesQueuedRequestOfAnotherInstance(t *testing.T) {
-	w := newTestCluster(t, 2, testService("s", 4))
-	busy := w.cores[0]
-	w.backendRunTime = time.Hour
-	for n := 0; w.pool(0).Free(spread.Short) > 0; n++ {
-		w.send(0, callerN(n), get(1))
+	tc := newTestCluster(t, 2, testService("s", 4))
+	busy := tc.cores[0]
+	tc.backendRunTime = time.Hour
+	for n := 0; tc.pool(0).Free(spread.Short) > 0; n++ {
+		tc.send(0, callerN(n), get(1))
 	}
 	a := callerDatagram{callerExchange: callerExchange{svc: busy.services["s"], caller: callerN(99)}, hops: 0}
 	m := get(1).encode(t)
 	a.msg, a.messageType, a.messageID, a.token = &m, m.Type, m.ID, m.Token
-	w.callCore(0, func(c *Core, out *Effects) {
-		c.begin(w.now, out)
+	tc.callCore(0, func(c *Core, out *Effects) {
+		c.begin(tc.now, out)
 		c.enqueue(c.newRequest(&a), spread.Short)
 	})
-	w.backendRunTime = 10 * time.Millisecond
-	w.advance(70 * time.Millisecond) // the load report with the backlog arrives
-	for n := 50; len(w.responses(callerN(99))) == 0; n++ {
+	tc.backendRunTime = 10 * time.Millisecond
+	tc.advance(70 * time.Millisecond) // the load report with the backlog arrives
+	for n := 50; len(tc.responses(callerN(99))) == 0; n++ {
 		assert.Assert(t, n < 60, "the queued request was not taken over")
-		w.send(1, callerN(n), get(1)) // when it completes, a slot becomes free
-		w.advance(50 * time.Millisecond)
+		tc.send(1, callerN(n), get(1)) // when it completes, a slot becomes free
+		tc.advance(50 * time.Millisecond)
 	}
-	assert.Equal(t, w.responses(callerN(99))[0].core, 1)
+	assert.Equal(t, tc.responses(callerN(99))[0].core, 1)
 }
 
 // Guards against a retry that is relayed: the other instance has no record that
 // a backend server may have run the request, and would allow it all attempts
 // again.
 func TestRetryIsNotRelayed(t *testing.T) {
-	w := newTestCluster(t, 2, testService("s", 4))
-	a := callerDatagram{callerExchange: callerExchange{svc: w.cores[0].services["s"], caller: callerA}}
+	tc := newTestCluster(t, 2, testService("s", 4))
+	a := callerDatagram{callerExchange: callerExchange{svc: tc.cores[0].services["s"], caller: callerA}}
 	m := get(1).encode(t)
 	a.msg, a.messageType, a.messageID, a.token = &m, m.Type, m.ID, m.Token
-	w.callCore(0, func(c *Core, out *Effects) {
-		c.begin(w.now, out)
+	tc.callCore(0, func(c *Core, out *Effects) {
+		c.begin(tc.now, out)
 		c.refreshOwnership(a.svc)
 		r := c.newRequest(&a)
 		r.attempts, r.mayHaveRun = 1, true
@@ -247,17 +247,17 @@
 		{Name: "a", Weight: 3, Networks: []netip.Prefix{netip.MustParsePrefix("192.0.2.0/25")}},
 		{Name: "b", Weight: 1, Networks: []netip.Prefix{netip.MustParsePrefix("192.0.2.128/25")}},
 	}
-	w := newTestCluster(t, 3, r)
-	w.backendRunTime = 20 * time.Millisecond // capacity: 600 requests a second
-	w.ackConfirmables = true
+	tc := newTestCluster(t, 3, r)
+	tc.backendRunTime = 20 * time.Millisecond // capacity: 600 requests a second
+	tc.ackConfirmables = true
 	port := uint16(0)
 	request := func(host byte) {
 		port++
-		w.send(int(port)%3, netip.AddrPortFrom(netip.AddrFrom4([4]byte{192, 0, 2, host}), port), get(1))
+		tc.send(int(port)%3, netip.AddrPortFrom(netip.AddrFrom4([4]byte{192, 0, 2, host}), port), get(1))
 	}
 	for n := range 700 { // a: 600 a second, b: 6,000 a second
 		if n == 200 {
-			w.replies = nil
+			tc.replies = nil
 		}
 		for range 3 {
 			request(1)
@@ -265,10 +265,10 @@
 		for range 30 {
 			request(200)
 		}
-		w.advance(5 * time.Millisecond)
+		tc.advance(5 * time.Millisecond)
 	}
 	served := map[bool]int{}
-	for _, x := range w.replies {
+	for _, x := range tc.replies {
 		if x.m.Code == message.Content {
 			served[x.caller.Addr().As4()[3] < 128]++
 		}
@@ -282,23 +282,23 @@
 // Guards against the blocks of one transfer coming from different backend
 // servers.
 func TestFollowUpBlocksGoToSameTarget(t *testing.T) {
-	w := newTestCluster(t, 3, testService("s", 6))
+	tc := newTestCluster(t, 3, testService("s", 6))
 	for n := range 6 {
-		w.clearRecords()
+		tc.clearRecords()
 		for num := range byte(6) {
 			d := get(uint16(num))
 			m := d.encode(t)
 			if num > 0 {
 				m = withBlock2(t, m.Raw, num<<4|2)
 			}
-			w.backendResponse = func(b backendMessage) *message.Outgoing {
+			tc.backendResponse = func(b backendMessage) *message.Outgoing {
 				raw := withBlock2(t, []byte{0x60, byte(message.Content), 0, 0}, num<<4|8|2).Raw
 				return &message.Outgoing{Template: raw, Type: message.Acknowledgement, ID: b.m.ID, Token: b.m.Token}
 			}
-			w.sendMessage((n+int(num))%3, callerN(n), &m)
-			w.advance(50 * time.Millisecond)
+			tc.sendMessage((n+int(num))%3, callerN(n), &m)
+			tc.advance(50 * time.Millisecond)
 		}
-		sent := w.receivedByBackends(message.GET)
+		sent := tc.receivedByBackends(message.GET)
 		assert.Equal(t, len(sent), 6)
 		for _, b := range sent {
 			assert.Equal(t, b.target, sent[0].target)
@@ -309,22 +309,22 @@
 // Guards against the short run times of follow-up blocks, which would classify
 // every first block of a transfer as long.
 func TestFollowUpBlocksDoNotChangeTheClass(t *testing.T) {
-	w := newTestCluster(t, 1, testService("s", 2))
+	tc := newTestCluster(t, 1, testService("s", 2))
 	for n := range 20 {
 		for num := range byte(10) {
-			w.backendRunTime = time.Millisecond
+			tc.backendRunTime = time.Millisecond
 			d := get(uint16(n*10 + int(num)))
 			m := d.encode(t)
 			if num > 0 {
 				m = withBlock2(t, m.Raw, num<<4|2)
 			} else {
-				w.backendRunTime = 20 * time.Millisecond
+				tc.backendRunTime = 20 * time.Millisecond
 			}
-			w.sendMessage(0, callerA, &m)
-			w.advance(40 * time.Millisecond)
+			tc.sendMessage(0, callerA, &m)
+			tc.advance(40 * time.Millisecond)
 		}
 	}
-	s, d := w.cores[0].services["s"], get(1)
+	s, d := tc.cores[0].services["s"], get(1)
 	m := d.encode(t)
 	assert.Equal(t, s.pool.Classify(s.contentKey(&m)), spread.Short)
 	assert.Assert(t, s.pool.RunTime() > 15*time.Millisecond, s.pool.RunTime())
@@ -348,66 +348,66 @@
 // Guards against instances with different membership lists relaying a request
 // in a loop.
 func TestRelaysAreBounded(t *testing.T) {
-	w := newTestCluster(t, 3, testService("s", 6))
-	for i, c := range w.cores { // by the list of each instance the slots belong to the others
+	tc := newTestCluster(t, 3, testService("s", 6))
+	for i, c := range tc.cores { // by the list of each instance the slots belong to the others
 		var others []ids.Instance
-		for k := range w.cores {
+		for k := range tc.cores {
 			if k != i {
 				others = append(others, instanceID(k))
 			}
 		}
-		c.slotTable.SetInstances(w.now, others)
+		c.slotTable.SetInstances(tc.now, others)
 		c.generation++
 	}
 	for n := range 20 {
-		w.send(n%3, callerN(n), get(1))
+		tc.send(n%3, callerN(n), get(1))
 	}
-	w.advance(100 * time.Millisecond)
+	tc.advance(100 * time.Millisecond)
 	relays := uint64(0)
-	for _, c := range w.cores {
+	for _, c := range tc.cores {
 		relays += c.counters.Relayed
 	}
 	assert.Assert(t, relays <= 40, "%d relays", relays)
 	for n := range 20 {
-		assert.Equal(t, len(w.responses(callerN(n))), 1)
+		assert.Equal(t, len(tc.responses(callerN(n))), 1)
 	}
 }
 
 // Guards against a resumed instance that dispatches requests whose deadline has
 // passed, or responds "not run" to requests that may have run.
 func TestResumeAfterPause(t *testing.T) {
-	w := newTestCluster(t, 3, testService("s", 6))
-	w.backendRunTime = time.Hour
-	c := w.cores[0]
-	for n := 0; w.pool(0).Free(spread.Short) > 0; n++ {
-		w.send(0, callerN(n), get(1))
+	tc := newTestCluster(t, 3, testService("s", 6))
+	tc.backendRunTime = time.Hour
+	c := tc.cores[0]
+	for n := 0; tc.pool(0).Free(spread.Short) > 0; n++ {
+		tc.send(0, callerN(n), get(1))
 	}
 	d := post(7, "claim")
-	w.callCore(0, func(c *Core, out *Effects) { // a token that names this instance, although it is busy
-		c.begin(w.now, out)
+	tc.callCore(0, func(c *Core, out *Effects) { // a token that names this instance, although it is busy
+		c.begin(tc.now, out)
 		m := d.encode(t)
 		c.grant(&callerDatagram{callerExchange: callerExchange{svc: c.services["s"], caller: callerA}, msg: &m}, c.self.ID, c.self.Incarnation)
 	})
-	d.echo = w.responses(callerA)[0].m.Echo
-	w.send(0, callerA, d)
+	d.echo = tc.responses(callerA)[0].m.Echo
+	tc.send(0, callerA, d)
 	assert.Equal(t, c.services["s"].backlog(), 1)
-	w.paused[0] = true
-	w.advance(10 * time.Second)
-	w.paused[0] = false
-	w.send(0, callerN(60), get(2)) // before the first tick
-	assertResponse(t, w, message.ServiceUnavailable)
-	assert.Equal(t, len(w.receivedByBackends(message.POST)), 0)
+	tc.paused[0] = true
+	tc.advance(10 * time.Second)
+	tc.paused[0] = false
+	tc.send(0, callerN(60), get(2)) // before the first tick
+	assertResponse(t, tc, message.ServiceUnavailable)
+	assert.Equal(t, len(tc.receivedByBackends(message.POST)), 0)
 	assert.Equal(t, c.counters.Pauses, uint64(1))
-	w.backendRunTime = 10 * time.Millisecond
-	w.advance(6 * time.Second)
+	tc.backendRunTime = 10 * time.Millisecond
+	tc.advance(6 * time.Second)
 	assert.Equal(t, c.membership.State(), peerwire.Serving)
 	assert.Equal(t, len(c.liveRequests), 0)
-	w.clearRecords()
-	w.send(1, callerA, d)
-	w.advance(20 * time.Millisecond)
-	assert.Assert(t, bytes.HasSuffix(assertResponse(t, w, message.ServiceUnavailable).m.Raw, notRunPayload))
-	assert.Equal(t, len(w.receivedByBackends(message.POST)), 0)
-	w.send(0, callerN(61), get(3))
-	w.advance(50 * time.Millisecond)
-	assert.Equal(t, w.responses(callerN(61))[0].m.Code, message.Content)
+	tc.clearRecords()
+	tc.send(1, callerA, d)
+	tc.advance(20 * time.Millisecond)
+	assert.Assert(t, bytes.HasSuffix(assertResponse(t, tc, message.ServiceUnavailable).m.Raw, notRunPayload))
+	assert.Equal(t, len(tc.receivedByBackends(message.POST)), 0)
+	tc.send(0, callerN(61), get(3))
+	tc.advance(50 * time.Millisecond)
+	assert.Equal(t, tc.responses(callerN(61))[0].m.Code, message.Content)
 }
--- a/internal/core/snapshot.go
+++ b/internal/core/snapshot.go
@@ -74,10 +74,10 @@
 		Admissions: c.admissions.Len(), Feeds: c.feeds.Len(), Requests: len(c.liveRequests), Counters: c.counters,
 	}
 	for _, name := range slices.Sorted(maps.Keys(c.services)) {
-		if e := c.services[name]; e != nil {
-			c.refreshOwnership(e)
-			if e.pool != nil {
-				s.Services = append(s.Services, c.serviceState(e))
+		if svc := c.services[name]; svc != nil {
+			c.refreshOwnership(svc)
+			if svc.pool != nil {
+				s.Services = append(s.Services, c.serviceState(svc))
 			}
 		}
 	}
--- a/internal/core/tick.go
+++ b/internal/core/tick.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// others returns the serving instances except this one.
+// otherInstances returns the serving instances except this one.
 func (c *Core) otherInstances() []ids.Instance {
 	var list []ids.Instance
 	for _, id := range c.membership.Serving() {
