--- a/internal/share/returns.go
+++ b/internal/share/returns.go
@@ -7,37 +7,36 @@
 	"arbutusdock.example/arbutusdock/internal/ids"
 )
 
-// RetryPacer spreads the return of refused callers over time. It books one return
-// after the other at LoadFraction of the rate at which the owner serves requests, so
-// that callers who return add at most this part to the load, however long the
-// overload lasts. Times drawn from an interval that grows with the ratio of
-// load to capacity do not ensure this, because the interval does not grow with
-// the number of callers that have been refused already.
+// RetryPacer spreads the retries of refused callers over time. It schedules retries one
+// after the other, at LoadFraction of the rate at which the owner serves requests, so
+// that they add at most this fraction to the load, however long the overload lasts.
+// Random delays from an interval that grows with the ratio of load to capacity do not
+// ensure this, because the interval does not grow with the number of callers that are
+// already refused.
 type RetryPacer struct {
 	Min, Max     time.Duration
 	LoadFraction float64  // of the service rate, 0 to 1
-	nextReturn   ids.Time // of the next booking
+	nextRetry    ids.Time // earliest time of the next retry to be scheduled
 }
 
-// RetryAfter books a return and gives the time until then in whole seconds, the
-// unit of Max-Age, between Min and Max. rate is the number of requests a
-// second that the owner can serve. The time is drawn uniformly around the
-// booking, from half to one and a half of it. Without that, the callers refused
-// in a fraction of a second all came back in the same fraction of a later one,
-// since they wait for whole seconds.
+// RetryAfter schedules a retry and returns the delay until then in whole seconds, the
+// unit of Max-Age, between Min and Max. rate is the number of requests per second that
+// the owner can serve. The delay is drawn uniformly from 0.5 to 1.5 times the scheduled
+// one. Without this jitter, callers refused in the same fraction of a second all
+// retried in the same fraction of a later second, since they wait for whole seconds.
 func (r *RetryPacer) RetryAfter(now ids.Time, rate float64, rng *rand.Rand) uint32 {
-	// Bookings beyond Max fall on Max; to go on counting them would delay
-	// later ones for nothing.
-	r.nextReturn = min(max(r.nextReturn, now.Add(r.Min)), now.Add(r.Max))
-	d := r.nextReturn.Sub(now)
-	if part := rate * r.LoadFraction; part > 0 {
-		r.nextReturn = r.nextReturn.Add(time.Duration(float64(time.Second) / part))
+	// Retries that would be due after Max are scheduled at Max. Accumulating the
+	// excess would delay later retries without need.
+	r.nextRetry = min(max(r.nextRetry, now.Add(r.Min)), now.Add(r.Max))
+	delay := r.nextRetry.Sub(now)
+	if retryRate := rate * r.LoadFraction; retryRate > 0 {
+		r.nextRetry = r.nextRetry.Add(time.Duration(float64(time.Second) / retryRate))
 	}
-	d = d/2 + time.Duration(rng.Float64()*float64(d))
-	least, most := uint32((r.Min+time.Second-1)/time.Second), uint32(r.Max/time.Second)
-	whole := uint32(d / time.Second)
-	if rng.Float64() < (d % time.Second).Seconds() {
-		whole++
+	delay = delay/2 + time.Duration(rng.Float64()*float64(delay))
+	minSeconds, maxSeconds := uint32((r.Min+time.Second-1)/time.Second), uint32(r.Max/time.Second)
+	seconds := uint32(delay / time.Second)
+	if rng.Float64() < (delay % time.Second).Seconds() {
+		seconds++
 	}
-	return max(min(whole, most), least, 1)
+	return max(min(seconds, maxSeconds), minSeconds, 1)
 }
