--- a/internal/chart/chart.go
+++ b/internal/chart/chart.go
@@ -1,6 +1,6 @@
-// Package chart interprets state charts that are kept in TOML files. A chart is
-// bound to the integer constants of its user when it is loaded; afterwards a
-// transition is one table look-up and does not allocate.
+// Package chart implements state machines that are defined by state charts in
+// TOML files. Loading a chart maps its names to the integer constants of the
+// caller; afterwards a transition is one table look-up and does not allocate.
 package chart
 
 import (
@@ -28,12 +28,13 @@
 
 // Chart is a compiled state chart. It is immutable and may be shared.
 type Chart struct {
-	name    string
-	names   Names
-	initial State
-	next    []transition // indexed by state*len(events)+event
+	name        string
+	names       Names
+	initial     State
+	transitions []transition // indexed by state*len(events)+event
 }
 
+// transition is the entry of the transition table for one state and event.
 type transition struct {
 	defined bool
 	to      State
@@ -47,13 +48,13 @@
 func (c *Chart) Initial() State { return c.initial }
 
 // Next returns the state after event e in state s and the actions of that
-// transition. ok is false, and the state unchanged, when s does not react to e.
+// transition. ok is false, and the state unchanged, when s has no transition for e.
 // The caller must not change the returned slice.
 func (c *Chart) Next(s State, e Event) (to State, actions []Action, ok bool) {
 	if int(s) >= len(c.names.States) || int(e) >= len(c.names.Events) {
 		return s, nil, false
 	}
-	t := &c.next[int(s)*len(c.names.Events)+int(e)]
+	t := &c.transitions[int(s)*len(c.names.Events)+int(e)]
 	if !t.defined {
 		return s, nil, false
 	}
@@ -68,7 +69,7 @@
 	return fmt.Sprintf("state %d", s)
 }
 
-// Machine is one instance of a chart.
+// Machine is a state machine defined by a Chart.
 type Machine struct {
 	chart *Chart
 	state State
@@ -81,7 +82,7 @@
 func (m *Machine) State() State { return m.state }
 
 // Fire applies e and returns the actions of the transition. ok is false when
-// the current state does not react to e. It does not allocate.
+// the current state has no transition for e. Fire does not allocate.
 func (m *Machine) Fire(e Event) (actions []Action, ok bool) {
 	m.state, actions, ok = m.chart.Next(m.state, e)
 	return actions, ok
--- a/internal/chart/chart_test.go
+++ b/internal/chart/chart_test.go
@@ -9,7 +9,7 @@
 
 var testNames = Names{States: []string{"a", "b", "c"}, Events: []string{"go", "end"}, Actions: []string{"tell"}}
 
-// Guards against faults in a chart file that are accepted or not all listed.
+// Guards against faults in a chart file that are accepted or not reported.
 func TestLoadListsAllFaults(t *testing.T) {
 	_, err := Load([]byte(`
 initial = "x"
@@ -47,18 +47,18 @@
 	assert.ErrorContains(t, err, "state c: not reachable from a")
 }
 
-// Guards against a drain that ends in serving, in any sequence of events, and
-// against transitions that allocate.
+// Guards against a sequence of events that leads from draining back to serving,
+// and against transitions that allocate memory.
 func TestInstanceChart(t *testing.T) {
-	todo := []State{InstanceDraining}
+	pending := []State{InstanceDraining}
 	seen := map[State]bool{}
-	for len(todo) > 0 {
-		s := todo[0]
-		todo = todo[1:]
+	for len(pending) > 0 {
+		s := pending[0]
+		pending = pending[1:]
 		for e := InstanceReady; e <= InstanceLeave; e++ {
 			if to, _, ok := Instance.Next(s, e); ok && !seen[to] {
 				seen[to] = true
-				todo = append(todo, to)
+				pending = append(pending, to)
 			}
 		}
 	}
--- a/internal/chart/charts.go
+++ b/internal/chart/charts.go
@@ -21,7 +21,7 @@
 
 // Events of the chart Instance.
 const (
-	InstanceReady  Event = iota // membership and configuration are fresh
+	InstanceReady  Event = iota // membership and configuration are up to date
 	InstanceResume              // the process was paused
 	InstanceStop                // a planned stop begins
 	InstanceLeave               // the planned stop is complete
@@ -33,7 +33,7 @@
 	InstanceRefresh                // fetch membership and configuration again
 )
 
-// Instance is the lifecycle of an entry instance.
+// Instance is the lifecycle chart of a load balancer instance.
 var Instance = MustLoad(instanceFile, Names{
 	States:  []string{"joining", "serving", "draining", "gone"},
 	Events:  []string{"ready", "resume", "stop", "leave"},
@@ -51,12 +51,12 @@
 // Events of the chart Backend.
 const (
 	BackendReady   Event = iota // slow start is over
-	BackendRestart              // recovered or undrained: slow start again
+	BackendRestart              // recovered or no longer drained; slow start begins again
 	BackendDrain                // drained by configuration or by its health endpoint
 	BackendRemove               // removed from the configuration
 )
 
-// Backend is the lifecycle of a backend server target.
+// Backend is the lifecycle chart of a backend server.
 var Backend = MustLoad(backendFile, Names{
 	States: []string{"starting", "serving", "draining", "gone"},
 	Events: []string{"ready", "restart", "drain", "remove"},
@@ -70,14 +70,15 @@
 
 // Events of the chart Suspicion.
 const (
-	SuspicionSilent Event = iota // heartbeats, checks or requests failed
-	SuspicionRefute              // the subject has shown that it is alive
+	SuspicionSilent Event = iota // heartbeats are missing, or health checks or requests failed
+	SuspicionRefute              // the instance or backend server has shown that it is alive
 )
 
 // SuspicionGossip is the only action of the chart Suspicion.
 const SuspicionGossip Action = 0
 
-// Suspicion is the trust in an instance or a backend server.
+// Suspicion is the chart of the suspicion that an instance or a backend server
+// has failed.
 var Suspicion = MustLoad(suspicionFile, Names{
 	States:  []string{"trusted", "suspected"},
 	Events:  []string{"silent", "refute"},
--- a/internal/chart/load.go
+++ b/internal/chart/load.go
@@ -9,19 +9,22 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
+// file is the content of a chart file.
 type file struct {
 	Name    string      `toml:"name"`
 	Initial string      `toml:"initial"`
 	States  []fileState `toml:"state"`
 }
 
+// fileState is a state in a chart file. On holds its transitions by event.
 type fileState struct {
-	Name  string            `toml:"name"`
-	Final bool              `toml:"final"`
-	On    map[string]fileOn `toml:"on"`
+	Name  string                    `toml:"name"`
+	Final bool                      `toml:"final"`
+	On    map[string]fileTransition `toml:"on"`
 }
 
-type fileOn struct {
+// fileTransition is a transition in a chart file.
+type fileTransition struct {
 	To      string   `toml:"to"`
 	Actions []string `toml:"actions"`
 }
@@ -49,8 +52,8 @@
 	return c, nil
 }
 
-// MustLoad is Load for charts that are embedded in the program. It panics on a
-// faulty chart, which the tests of the embedding package rule out.
+// MustLoad is Load for charts that are embedded in the program. It panics if
+// the chart is invalid, which the tests of the embedding package rule out.
 func MustLoad(data []byte, names Names) *Chart {
 	c, err := Load(data, names)
 	if err != nil {
@@ -59,6 +62,7 @@
 	return c
 }
 
+// loader compiles a chart file and collects its faults.
 type loader struct {
 	names  Names
 	file   *file
@@ -69,6 +73,7 @@
 	l.faults = append(l.faults, fmt.Sprintf(format, a...))
 }
 
+// index returns the index of name in list, or -1 with a fault recorded for where.
 func (l *loader) index(list []string, name, kind, where string) int {
 	i := slices.Index(list, name)
 	if i < 0 {
@@ -86,75 +91,79 @@
 		return nil
 	}
 	c := &Chart{name: l.file.Name, names: l.names}
-	c.next = make([]transition, len(l.names.States)*len(l.names.Events))
+	c.transitions = make([]transition, len(l.names.States)*len(l.names.Events))
 	if i := l.index(l.names.States, l.file.Initial, "state", "initial"); i >= 0 {
 		c.initial = State(i)
 	}
-	seen := make([]bool, len(l.names.States))
-	used := make([]bool, len(l.names.Events))
+	defined := make([]bool, len(l.names.States))
+	usedEvents := make([]bool, len(l.names.Events))
 	for _, s := range l.file.States {
-		l.state(c, s, seen, used)
+		l.addState(c, s, defined, usedEvents)
 	}
-	for i, ok := range seen {
+	for i, ok := range defined {
 		if !ok {
 			l.fault("state %s: missing", l.names.States[i])
 		}
 	}
-	for i, ok := range used {
+	for i, ok := range usedEvents {
 		if !ok {
 			l.fault("event %s: no transition", l.names.Events[i])
 		}
 	}
 	if len(l.faults) == 0 {
-		l.reachable(c)
+		l.checkReachable(c)
 	}
 	return c
 }
 
-func (l *loader) state(c *Chart, s fileState, seen, used []bool) {
+// addState adds the transitions of s to c and marks the state in defined and its
+// events in usedEvents.
+func (l *loader) addState(c *Chart, s fileState, defined, usedEvents []bool) {
 	where := "state " + s.Name
 	from := l.index(l.names.States, s.Name, "state", where)
 	if from < 0 {
 		return
 	}
-	if seen[from] {
+	if defined[from] {
 		l.fault("%s: defined twice", where)
 	}
-	seen[from] = true
+	defined[from] = true
 	if s.Final && len(s.On) > 0 {
 		l.fault("%s: a final state has no transitions", where)
 	}
 	if !s.Final && len(s.On) == 0 {
 		l.fault("%s: no transition and not final", where)
 	}
-	for event, on := range s.On {
+	for event, target := range s.On {
 		where := where + " on " + event
 		e := l.index(l.names.Events, event, "event", where)
-		to := l.index(l.names.States, on.To, "state", where)
+		to := l.index(l.names.States, target.To, "state", where)
 		t := transition{defined: true, to: State(max(to, 0))}
-		for _, a := range on.Actions {
+		for _, a := range target.Actions {
 			t.actions = append(t.actions, Action(max(l.index(l.names.Actions, a, "action", where), 0)))
 		}
 		if e >= 0 {
-			used[e] = true
-			c.next[from*len(l.names.Events)+e] = t
+			usedEvents[e] = true
+			c.transitions[from*len(l.names.Events)+e] = t
 		}
 	}
 }
 
-func (l *loader) reachable(c *Chart) {
+// checkReachable records a fault for every state that cannot be reached from the
+// initial state.
+func (l *loader) checkReachable(c *Chart) {
 	reached := make([]bool, len(l.names.States))
-	todo := []State{c.initial}
-	for len(todo) > 0 {
-		s := todo[len(todo)-1]
-		todo = todo[:len(todo)-1]
+	pending := []State{c.initial}
+	for len(pending) > 0 {
+		s := pending[len(pending)-1]
+		pending = pending[:len(pending)-1]
 		if reached[s] {
 			continue
 		}
 		reached[s] = true
 		for e := range l.names.Events {
-			if t := c.next[int(s)*len(l.names.Events)+e]; t.defined {
-				todo = append(todo, t.to)
+			if t := c.transitions[int(s)*len(l.names.Events)+e]; t.defined {
+				pending = append(pending, t.to)
 			}
 		}
 	}
--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -10,8 +10,8 @@
 	"arbutusdock.example/arbutusdock/internal/peerwire"
 )
 
-// benchDocument is a service document with 4 targets; 6,800 of them hold
-// 27,200 targets, about the 29,000 of the target size.
+// benchDocument returns a service document with 4 targets. 6,800 documents have
+// 27,200 targets, close to the 29,000 targets for which the system is sized.
 func benchDocument(i int) []byte {
 	var b strings.Builder
 	b.WriteString("port = 5683\nprofile = \"standard\"\n")
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -9,7 +9,8 @@
 	"arbutusdock.example/arbutusdock/internal/ids"
 )
 
-// Profile says how traffic to a service is spread, protected and shared.
+// Profile is the traffic policy of a service: load balancing, limits, and the
+// shares of the partners.
 type Profile struct {
 	Name     string
 	Spread   Spread
@@ -17,27 +18,28 @@
 	Partners []Partner
 }
 
-// Spread selects and tunes the placement of requests.
+// Spread holds the load-balancing parameters of a profile.
 type Spread struct {
-	LongShare  float64       // greatest share of owned slots that long requests hold, 0 to 1
-	LongFactor float64       // a request is long above this multiple of the median run time
-	SlowStart  time.Duration // time for which a new target gets one slot only
+	LongShare  float64       // maximum fraction of owned slots occupied by long requests, 0 to 1
+	LongFactor float64       // a request counts as long above this multiple of the median run time
+	SlowStart  time.Duration // time for which a new target is limited to one slot
 }
 
-// Protect holds the limits of a service.
+// Protect holds the limits that protect a service and its targets from overload.
 type Protect struct {
-	Deadline      time.Duration // from arrival to answer
-	QueueTime     time.Duration // longest wait for a slot
-	QueueLength   int           // queued requests per instance
-	RetryRatio    float64       // retries per first attempt
-	MaxFeeds      int           // open feeds per target
-	Idempotent    []string      // methods that may run more than once
-	RetryAfterMin time.Duration // least time to come back after a refusal
+	Deadline      time.Duration // from the arrival of a request to its response
+	QueueTime     time.Duration // maximum time that a request waits for a slot
+	QueueLength   int           // maximum number of queued requests per instance
+	RetryRatio    float64       // maximum number of retries per first attempt
+	MaxFeeds      int           // maximum number of open feeds per target
+	Idempotent    []string      // methods that may be executed more than once
+	RetryAfterMin time.Duration // minimum time after which the caller of a refused request may retry
 	RetryAfterMax time.Duration
 }
 
-// Partner is one partner's part of a profile. A request belongs to the first
-// partner whose Hosts hold its Uri-Host or whose Networks hold its caller.
+// Partner is the section of a profile for one partner. A request belongs to the
+// first partner whose Hosts contain its Uri-Host or whose Networks contain the
+// address of its caller.
 type Partner struct {
 	Name     ids.Partner
 	Weight   uint32
@@ -45,10 +47,10 @@
 	Networks []netip.Prefix
 }
 
-// Service names the address, the targets and the profile of a service.
+// Service is a service document: its listen address, profile and targets.
 type Service struct {
 	Name    ids.Service
-	Address netip.Addr // unspecified: any local address
+	Address netip.Addr // listen address; unspecified for any local address
 	Port    uint16     // UDP port on which callers reach the service
 	Profile string
 	Targets []Target
@@ -64,7 +66,7 @@
 	Draining   bool
 }
 
-// Resolved is a service together with the profile that it uses now.
+// Resolved is a service combined with the profile that is in force for it.
 type Resolved struct {
 	Service  Service
 	Profile  Profile
--- a/internal/config/document_error.go
+++ b/internal/config/document_error.go
@@ -7,16 +7,17 @@
 	"strings"
 )
 
-// Fault is one thing wrong with a document.
+// Fault is one validation error in a document.
 type Fault struct {
 	Line    int    // 1 for the first line; 0 when the fault has no line
 	Key     string // for example target[2].slots
-	Problem string // states the allowed values
+	Problem string // description with the allowed values
 }
 
-// DocumentError lists every fault of a refused document.
+// DocumentError is the error of a document that failed validation. It lists
+// every fault.
 type DocumentError struct {
-	Document string // platform key
+	Document string // key of the document in the platform
 	Faults   []Fault
 }
 
@@ -49,7 +50,7 @@
 }
 
 // line returns the line of key or, when the key is absent, of the innermost
-// table that should hold it.
+// table that should contain it.
 func (f *faults) line(key string) int {
 	for {
 		if n := f.lines[key]; n > 0 {
--- a/internal/config/parse_test.go
+++ b/internal/config/parse_test.go
@@ -11,7 +11,8 @@
 	"gotest.tools/v3/golden"
 )
 
-// parseFile parses a file of testdata by the kind in its name.
+// parseFile parses a file in testdata as the kind of document that the prefix of
+// its name gives.
 func parseFile(t *testing.T, path string) (any, error) {
 	data, err := os.ReadFile(path)
 	assert.NilError(t, err)
@@ -29,7 +30,7 @@
 	return list
 }
 
-// Guards against refused valid documents and against changed defaults.
+// Guards against valid documents that are refused and against changed defaults.
 func TestGoodDocuments(t *testing.T) {
 	for _, path := range files(t, "testdata/good/*.toml") {
 		_, err := parseFile(t, path)
@@ -45,7 +46,7 @@
 	assert.Equal(t, s.(Service).Targets[1].Address.String(), "[fd00::6]:5683")
 }
 
-// Guards against faults that are not listed, or listed without line, key or
+// Guards against faults that are not reported, or reported without line, key or
 // allowed range. Run with -update to write the golden files.
 func TestBadDocuments(t *testing.T) {
 	for _, path := range files(t, "testdata/bad/*.toml") {
@@ -65,24 +66,24 @@
 		}
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		err, again := parse(data), parse(data)
+		err, secondErr := parse(data), parse(data)
 		if err == nil {
-			assert.NilError(t, again)
+			assert.NilError(t, secondErr)
 			return
 		}
 		var d *DocumentError
 		assert.Assert(t, errors.As(err, &d) && len(d.Faults) > 0)
-		assert.Equal(t, err.Error(), again.Error())
+		assert.Equal(t, err.Error(), secondErr.Error())
 	})
 }
 
-// FuzzParseProfile guards against a document that stops the process or gets
-// different verdicts.
+// FuzzParseProfile guards against a document that crashes the process, or for
+// which repeated parsing gives different results.
 func FuzzParseProfile(f *testing.F) {
 	fuzz(f, "profile", func(b []byte) error { _, err := ParseProfile("x", b); return err })
 }
 
-// FuzzParseService guards against the same for services.
+// FuzzParseService guards against the same faults for service documents.
 func FuzzParseService(f *testing.F) {
 	fuzz(f, "service", func(b []byte) error { _, err := ParseService("x", b); return err })
 }
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -14,7 +14,7 @@
 	defaultSlots = 2
 	endpointRule = "IP:port such as 10.0.0.5:5683"
 	healthRule   = "a URL such as http://10.0.0.5:8080/health with an IP address and a port"
-	anyAddress   = "an IP address, 0.0.0.0 for any local one"
+	addressRule  = "an IP address, 0.0.0.0 for any local one"
 )
 
 // ParseService parses and validates a service document. The error is a
@@ -25,21 +25,21 @@
 		f.add("", "name %q, allowed: %s", name, nameRule)
 	}
 	s := Service{Name: ids.Service(name), Address: netip.IPv4Unspecified()}
-	if t := parse(f, toml); t != nil {
-		if a, ok := t.text("address", anyAddress, false); ok {
+	if t := parseTable(f, toml); t != nil {
+		if a, ok := t.stringValue("address", addressRule, false); ok {
 			addr, err := netip.ParseAddr(a)
 			if err != nil || addr.Zone() != "" {
-				t.fault("address", "%q, allowed: %s", a, anyAddress)
+				t.fault("address", "%q, allowed: %s", a, addressRule)
 			}
 			s.Address = addr
 		}
 		s.Port = uint16(t.integer("port", 0, 1, 65535))
-		if _, ok := t.m["port"]; !ok {
+		if _, ok := t.values["port"]; !ok {
 			t.fault("port", "missing, allowed: 1 to 65535")
 		}
 		s.Profile = parseName(t, "profile")
 		s.Targets = parseTargets(t)
-		t.done()
+		t.reportUnknownKeys()
 	}
 	if err := f.err(); err != nil {
 		return Service{}, err
@@ -47,10 +47,10 @@
 	return s, nil
 }
 
-// parseName reads a required name. Names that recur in many documents are
-// held in memory once.
+// parseName reads a required name. Names are interned, since the same name
+// occurs in many documents.
 func parseName(t *table, key string) string {
-	name, ok := t.text(key, nameRule, true)
+	name, ok := t.stringValue(key, nameRule, true)
 	if ok && !validName(name) {
 		t.fault(key, "%q, allowed: %s", name, nameRule)
 	}
@@ -77,22 +77,22 @@
 }
 
 func parseTarget(t *table) Target {
-	defer t.done()
+	defer t.reportUnknownKeys()
 	target := Target{
 		Name:       ids.Target(parseName(t, "name")),
 		DataCentre: ids.DataCentre(parseName(t, "data_centre")),
 		Slots:      int(t.integer("slots", defaultSlots, 1, maxSlots)),
 		Draining:   t.boolean("draining"),
 	}
-	if a, ok := t.text("address", endpointRule, true); ok {
+	if a, ok := t.stringValue("address", endpointRule, true); ok {
 		e, err := netip.ParseAddrPort(a)
 		if err != nil || e.Port() == 0 || e.Addr().IsUnspecified() || e.Addr().Zone() != "" {
 			t.fault("address", "%q, allowed: %s", a, endpointRule)
 		}
 		target.Address = e
 	}
-	if h, ok := t.text("health", healthRule, false); ok {
-		if h != "" && !validHealth(h) {
+	if h, ok := t.stringValue("health", healthRule, false); ok {
+		if h != "" && !validHealthURL(h) {
 			t.fault("health", "%q, allowed: %s", h, healthRule)
 		}
 		target.Health = h
@@ -100,7 +100,7 @@
 	return target
 }
 
-func validHealth(s string) bool {
+func validHealthURL(s string) bool {
 	u, err := url.Parse(s)
 	if err != nil || u.Scheme != "http" || u.User != nil || len(s) > 255 {
 		return false
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -9,126 +9,132 @@
 	"arbutusdock.example/arbutusdock/internal/peerwire"
 )
 
-// Publication is one publication as read from the platform.
+// Publication is one revision of a document, or its deletion, as read from the
+// platform.
 type Publication struct {
 	Key      string
 	Revision ids.Revision
 	Value    []byte // nil when the key was deleted
 }
 
-// Refusal tells why a publication was not accepted.
+// Refusal is a publication that failed validation, with the error.
 type Refusal struct {
 	Key      string
 	Revision ids.Revision
 	Err      error
 }
 
-// entry is the state of one key. For each key the highest good revision and
-// the highest refused revision above it are kept. Both are maxima, so the
-// state depends neither on the order of arrival nor on repetition.
+// entry is the state of one key: its highest valid revision and, above that, its
+// highest refused revision. Both are maxima, so the state depends neither on the
+// order in which revisions arrive nor on repetitions.
 type entry struct {
-	key      string
-	value    []byte       // last good value; nil when deleted
-	revision ids.Revision // of value; 0 when no good value is known
-	refused  ids.Revision // 0 unless a later publication was refused
-	profile  *Profile
-	service  *Service
-	// unconfirmed: a good value between revision and refused may have been
-	// missed, since a read of the platform returned only the latest one.
+	key             string
+	value           []byte       // last valid value; nil when deleted
+	revision        ids.Revision // of value; 0 when no valid value is known
+	refusedRevision ids.Revision // 0 unless a later publication was refused
+	profile         *Profile
+	service         *Service
+	// unconfirmed is set when a valid value between revision and refusedRevision
+	// may have been missed, since a read of the platform returns only the latest
+	// value of a key.
 	unconfirmed bool
 }
 
-// position is the place of an entry in the order of deltas. An entry with a
-// refused revision has two: one at its good revision too, so that a store
-// which has applied the parts of a delta up to some revision has missed no
-// good value up to it that is still in force.
+// position is the place of an entry in the order in which deltas list
+// documents. An entry with a refused revision has two positions, one at its
+// valid and one at its refused revision. A store that has applied the parts of
+// a delta up to some revision therefore has every valid value up to that
+// revision that is still in force.
 type position struct {
-	at    ids.Revision
-	entry *entry
+	revision ids.Revision
+	entry    *entry
 }
 
 func (a position) compare(b position) int {
-	return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.entry.key, b.entry.key))
+	return cmp.Or(cmp.Compare(a.revision, b.revision), cmp.Compare(a.entry.key, b.entry.key))
 }
 
-// Store holds the documents by key, the resolved services and the revision in
-// force. The zero value is empty and ready to use.
+// Store holds the documents by key, the resolved services and the highest
+// revision applied. The zero value is empty and ready to use.
 type Store struct {
-	revision    ids.Revision
-	entries     map[string]*entry
-	order       []position // sorted
-	resolved    map[ids.Service]*Resolved
-	unconfirmed int
+	revision         ids.Revision
+	entries          map[string]*entry
+	positions        []position // sorted by position.compare
+	resolved         map[ids.Service]*Resolved
+	unconfirmedCount int
 }
 
-// ApplyDocuments merges documents received from a peer. They must answer a request for
-// what changed after a revision that this store had reached, and be complete
-// up to upto. It returns the services whose resolved state changed.
+// ApplyDocuments merges documents received from a peer. They must be the
+// response to a request for the changes after a revision that this store had
+// reached, and be complete up to revision upto. It returns the services whose
+// resolved state changed.
 func (s *Store) ApplyDocuments(docs []peerwire.Document, upto ids.Revision) (changed []ids.Service) {
 	m := merger{s: s}
 	for i := range docs {
 		d := &docs[i]
 		e := m.entry(d.Key)
-		before := e.refused
+		refusedBefore := e.refusedRevision
 		if d.Revision > 0 {
 			m.merge(e, d.Revision, d.Value)
 		}
-		m.refuse(e, d.Refused)
-		if e.refused != 0 && e.refused == d.Refused && (!d.Unconfirmed || before != e.refused) {
+		m.recordRefusal(e, d.Refused)
+		if e.refusedRevision != 0 && e.refusedRevision == d.Refused && (!d.Unconfirmed || refusedBefore != e.refusedRevision) {
 			s.setUnconfirmed(e, d.Unconfirmed)
 		}
 	}
 	return m.finish(upto)
 }
 
-// ApplyPublications merges publications read from the platform. They must be complete
-// from the revision asked for up to upto. It returns the services whose
-// resolved state changed, and why publications were refused.
+// ApplyPublications merges publications read from the platform. They must be
+// complete from the requested revision up to upto. It returns the services whose
+// resolved state changed and the publications that were refused.
 func (s *Store) ApplyPublications(p []Publication, upto ids.Revision) (changed []ids.Service, refused []Refusal) {
 	m := merger{s: s}
-	next := s.revision + 1 // all revisions before it are accounted for
+	next := s.revision + 1 // every revision below next has been read
 	for i := range p {
 		if p[i].Revision == next {
 			next++
 		}
 		e := m.entry(p[i].Key)
-		before := e.refused
+		refusedBefore := e.refusedRevision
 		if err := m.merge(e, p[i].Revision, p[i].Value); err != nil {
 			refused = append(refused, Refusal{p[i].Key, p[i].Revision, err})
 		}
-		if e.refused > before {
+		if e.refusedRevision > refusedBefore {
 			s.setUnconfirmed(e, e.unconfirmed || p[i].Revision >= next)
 		}
 	}
 	return m.finish(upto), refused
 }
 
-func (s *Store) setUnconfirmed(e *entry, on bool) {
-	if e.unconfirmed != on {
-		e.unconfirmed = on
-		if on {
-			s.unconfirmed++
+func (s *Store) setUnconfirmed(e *entry, unconfirmed bool) {
+	if e.unconfirmed != unconfirmed {
+		e.unconfirmed = unconfirmed
+		if unconfirmed {
+			s.unconfirmedCount++
 		} else {
-			s.unconfirmed--
+			s.unconfirmedCount--
 		}
 	}
 }
 
-// UnconfirmedAfter returns the revision after which a peer should be asked because it
-// may know a good value that this store missed.
+// UnconfirmedAfter returns the revision after which changes should be requested
+// from a peer that may have a valid value missed by this store. ok is false when
+// no entry is unconfirmed.
 func (s *Store) UnconfirmedAfter() (after ids.Revision, ok bool) {
-	if s.unconfirmed == 0 {
+	if s.unconfirmedCount == 0 {
 		return 0, false
 	}
-	for _, p := range s.order {
-		if e := p.entry; e.unconfirmed && p.at == e.refused {
-			return e.refused - 1, true
+	for _, p := range s.positions {
+		if e := p.entry; e.unconfirmed && p.revision == e.refusedRevision {
+			return e.refusedRevision - 1, true
 		}
 	}
 	return 0, false
 }
 
-// merger collects the effects of one ApplyDocuments or ApplyPublications.
+// merger collects the services and profiles that one call of ApplyDocuments or
+// ApplyPublications changes.
 type merger struct {
 	s        *Store
 	services map[ids.Service]bool
@@ -148,16 +154,17 @@
 	return e
 }
 
-// merge takes over value at revision r unless a later one is known. The error
-// is the reason for a refusal.
+// merge stores value at revision r unless a later revision is known. It returns
+// the validation error when value is refused.
 func (m *merger) merge(e *entry, r ids.Revision, value []byte) error {
-	if r <= e.revision || r == e.refused {
+	if r <= e.revision || r == e.refusedRevision {
 		return nil
 	}
 	if value == nil && strings.HasPrefix(e.key, profilePrefix) {
-		// Services that still name a deleted profile keep it. Its last value
-		// must therefore travel to joining instances, as after a refusal.
-		m.refuse(e, r)
+		// Services that still reference a deleted profile keep using it. Joining
+		// instances therefore need its last value, so the deletion is recorded
+		// like a refusal.
+		m.recordRefusal(e, r)
 		return nil
 	}
 	var profile *Profile
@@ -165,32 +172,34 @@
 	if value != nil {
 		var err error
 		if profile, service, err = parseDocument(e.key, value); err != nil {
-			m.refuse(e, r)
+			m.recordRefusal(e, r)
 			return err
 		}
 		value = slices.Clone(value)
 	}
-	m.s.displace(e)
+	m.s.removePositions(e)
 	e.value, e.revision, e.profile, e.service = value, r, profile, service
-	if e.refused <= r {
-		e.refused = 0
+	if e.refusedRevision <= r {
+		e.refusedRevision = 0
 		m.s.setUnconfirmed(e, false)
 	}
-	m.s.place(e)
-	m.note(e)
+	m.s.insertPositions(e)
+	m.markAffected(e)
 	return nil
 }
 
-// refuse records that revision r of the key is not in force.
-func (m *merger) refuse(e *entry, r ids.Revision) {
-	if r > max(e.revision, e.refused) {
-		m.s.displace(e)
-		e.refused = r
-		m.s.place(e)
+// recordRefusal records that revision r of the key is not in force: its value
+// was refused, or it deletes a profile.
+func (m *merger) recordRefusal(e *entry, r ids.Revision) {
+	if r > max(e.revision, e.refusedRevision) {
+		m.s.removePositions(e)
+		e.refusedRevision = r
+		m.s.insertPositions(e)
 	}
 }
 
-func (m *merger) note(e *entry) {
+// markAffected records the service or profile of e as changed.
+func (m *merger) markAffected(e *entry) {
 	if name, ok := strings.CutPrefix(e.key, profilePrefix); ok {
 		if m.profiles == nil {
 			m.profiles = map[string]bool{}
@@ -204,14 +213,15 @@
 	}
 }
 
-// finish resolves the services concerned and raises the revision in force.
+// finish raises the revision of the store to upto, resolves the changed services
+// and those that use a changed profile, and returns the ones that changed.
 func (m *merger) finish(upto ids.Revision) []ids.Service {
 	s := m.s
 	s.revision = max(s.revision, upto)
 	if len(m.profiles) > 0 {
 		for _, e := range s.entries {
 			if e.service != nil && m.profiles[e.service.Profile] {
-				m.note(e)
+				m.markAffected(e)
 			}
 		}
 	}
@@ -225,8 +235,9 @@
 	return changed
 }
 
-// resolve combines a service with its profile and reports a change. A service
-// whose profile is unknown keeps the last one that it was resolved with.
+// resolve combines a service with its profile and reports whether the resolved
+// service was replaced or removed. A service whose profile is unknown keeps the
+// profile with which it was last resolved.
 func (s *Store) resolve(name ids.Service) bool {
 	e := s.entries[servicePrefix+string(name)]
 	old := s.resolved[name]
@@ -258,71 +269,72 @@
 	return nil, nil, &DocumentError{key, []Fault{{Problem: "unknown kind of document, allowed: profile/<name>, service/<name>"}}}
 }
 
-func (s *Store) place(e *entry) {
-	for _, at := range []ids.Revision{e.revision, e.refused} {
+func (s *Store) insertPositions(e *entry) {
+	for _, at := range []ids.Revision{e.revision, e.refusedRevision} {
 		if at != 0 {
 			p := position{at, e}
-			i, _ := slices.BinarySearchFunc(s.order, p, position.compare)
-			s.order = slices.Insert(s.order, i, p)
+			i, _ := slices.BinarySearchFunc(s.positions, p, position.compare)
+			s.positions = slices.Insert(s.positions, i, p)
 		}
 	}
 }
 
-func (s *Store) displace(e *entry) {
-	for _, at := range []ids.Revision{e.revision, e.refused} {
-		if i, ok := slices.BinarySearchFunc(s.order, position{at, e}, position.compare); ok {
-			s.order = slices.Delete(s.order, i, i+1)
+func (s *Store) removePositions(e *entry) {
+	for _, at := range []ids.Revision{e.revision, e.refusedRevision} {
+		if i, ok := slices.BinarySearchFunc(s.positions, position{at, e}, position.compare); ok {
+			s.positions = slices.Delete(s.positions, i, i+1)
 		}
 	}
 }
 
-// Delta returns what changed after revision after. It holds at least one
-// document if there is one, and further ones up to about maxBytes. More tells
-// that a request after Upto gets the rest.
+// Delta returns the documents that changed after revision after: at least one
+// if there are any, and further ones up to about maxBytes. When More is set, a
+// request for the changes after Upto returns the rest.
 func (s *Store) Delta(after ids.Revision, maxBytes int) *peerwire.ConfigDelta {
-	i, _ := slices.BinarySearchFunc(s.order, after, func(p position, r ids.Revision) int {
-		if p.at <= r {
+	i, _ := slices.BinarySearchFunc(s.positions, after, func(p position, r ids.Revision) int {
+		if p.revision <= r {
 			return -1
 		}
 		return 1
 	})
 	d := &peerwire.ConfigDelta{Upto: s.revision}
-	size, last := 0, after
+	size, lastRevision := 0, after
 	add := func(e *entry) {
 		// A document also carries its key, two revisions and CBOR headers.
 		size += len(e.key) + len(e.value) + 24
 		d.Documents = append(d.Documents, peerwire.Document{Key: e.key, Revision: e.revision, Value: e.value,
-			Refused: e.refused, Unconfirmed: e.unconfirmed})
+			Refused: e.refusedRevision, Unconfirmed: e.unconfirmed})
 	}
-	if s.unconfirmed > 0 {
-		// These come first: otherwise the receiver of a part would count as
-		// complete up to a revision at which this store lacks a value.
-		for _, p := range s.order[i:] {
-			if p.entry.unconfirmed && p.at == p.entry.refused {
+	if s.unconfirmedCount > 0 {
+		// Unconfirmed entries come first. Otherwise the receiver of one part
+		// would be regarded as complete up to a revision for which this store
+		// may lack a valid value.
+		for _, p := range s.positions[i:] {
+			if p.entry.unconfirmed && p.revision == p.entry.refusedRevision {
 				add(p.entry)
 			}
 		}
 	}
-	parts := 0
-	for _, p := range s.order[i:] {
+	documents := 0
+	for _, p := range s.positions[i:] {
 		e := p.entry
-		if e.unconfirmed || p.at == e.refused && e.revision > after {
-			last = p.at // included above
+		if e.unconfirmed || p.revision == e.refusedRevision && e.revision > after {
+			lastRevision = p.revision // already added
 			continue
 		}
-		if parts > 0 && size+len(e.key)+len(e.value)+24 > maxBytes {
-			d.More, d.Upto = true, min(s.revision, last)
+		if documents > 0 && size+len(e.key)+len(e.value)+24 > maxBytes {
+			d.More, d.Upto = true, min(s.revision, lastRevision)
 			break
 		}
 		add(e)
-		parts++
-		last = p.at
+		documents++
+		lastRevision = p.revision
 	}
 	return d
 }
 
 // Resolved returns a service with its profile. It returns false when the
-// service is unknown, deleted, or has never had a known profile. The caller
+// service is unknown or deleted, or when its profile has never been known. The caller
 // must not change the result.
 func (s *Store) Resolved(service ids.Service) (*Resolved, bool) {
 	r, ok := s.resolved[service]
@@ -344,5 +356,5 @@
 	return s.Delta(0, int(^uint(0)>>1)).Documents
 }
 
-// Revision returns the revision in force.
+// Revision returns the highest revision applied to the store.
 func (s *Store) Revision() ids.Revision { return s.revision }
--- a/internal/config/store_test.go
+++ b/internal/config/store_test.go
@@ -17,9 +17,11 @@
 // A fixed seed keeps the normal run repeatable; -rapid.seed overrides it.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-const big = 1 << 20
+const noLimit = 1 << 20
 
-func profileDoc(queue int) []byte { return fmt.Appendf(nil, "[protect]\nqueue_length = %d\n", queue) }
+func profileDoc(queueLength int) []byte {
+	return fmt.Appendf(nil, "[protect]\nqueue_length = %d\n", queueLength)
+}
 func serviceDoc(profile string) []byte {
 	return fmt.Appendf(nil, "port = 5683\nprofile = %q\n", profile)
 }
@@ -28,29 +30,29 @@
 	return s.ApplyPublications([]Publication{{key, r, value}}, r)
 }
 
-// Guards against a stale or bad document that replaces the one in force, and
-// against a service that is served without or loses its profile.
+// Guards against a stale or invalid document that replaces the one in force, and
+// against a service that is resolved without a profile or loses its profile.
 func TestStoreRules(t *testing.T) {
 	var s Store
 	changed, _ := publish(&s, "service/counter", 1, serviceDoc("standard"))
 	assert.Equal(t, len(changed), 0, "profile missing: not served")
 	changed, _ = publish(&s, "profile/standard", 2, profileDoc(100))
 	assert.DeepEqual(t, changed, []ids.Service{"counter"})
-	queue := func() int {
+	queueLength := func() int {
 		r, ok := s.Resolved("counter")
 		assert.Assert(t, ok)
 		return r.Profile.Protect.QueueLength
 	}
 	_, refused := publish(&s, "profile/standard", 3, []byte("[protect]\nqueue_length = -1\n"))
 	assert.Equal(t, len(refused), 1)
-	assert.Equal(t, queue(), 100)
+	assert.Equal(t, queueLength(), 100)
 	publish(&s, "profile/standard", 1, profileDoc(50))
-	assert.Equal(t, queue(), 100, "stale platform")
+	assert.Equal(t, queueLength(), 100, "stale platform")
 	assert.Equal(t, s.Revision(), ids.Revision(3))
 	publish(&s, "profile/standard", 4, nil)
-	assert.Equal(t, queue(), 100, "profile deleted while in use")
+	assert.Equal(t, queueLength(), 100, "profile deleted while in use")
 	publish(&s, "service/counter", 5, serviceDoc("unknown"))
-	assert.Equal(t, queue(), 100, "the new profile is missing")
+	assert.Equal(t, queueLength(), 100, "the new profile is missing")
 
 	changed, _ = publish(&s, "service/counter", 6, nil)
 	assert.DeepEqual(t, changed, []ids.Service{"counter"})
@@ -65,25 +67,25 @@
 }
 
 // Guards against an instance that reads only a refused revision from the
-// platform and never learns the last good value that its peers have.
+// platform and never receives the last valid value, which its peers have.
 func TestMissedGoodValue(t *testing.T) {
 	var a, b Store
 	publish(&a, "profile/standard", 1, profileDoc(100))
 	publish(&a, "profile/standard", 2, []byte("x"))
 	publish(&b, "profile/standard", 2, []byte("x"))
-	assert.Assert(t, a.Delta(0, big).Documents[0].Unconfirmed == false)
+	assert.Assert(t, a.Delta(0, noLimit).Documents[0].Unconfirmed == false)
 	assert.Equal(t, a.Revision(), b.Revision())
 	after, ok := b.UnconfirmedAfter()
 	assert.Assert(t, ok)
-	d := a.Delta(after, big)
+	d := a.Delta(after, noLimit)
 	b.ApplyDocuments(d.Documents, d.Upto)
 	assert.DeepEqual(t, b.Documents(), a.Documents())
 	_, ok = b.UnconfirmedAfter()
 	assert.Assert(t, !ok)
 }
 
-// Guards against deltas above their bound, lost documents between parts, and
-// a document that is too large to be sent at all.
+// Guards against deltas that exceed their size limit, documents lost between two
+// parts, and a document above the limit that is never sent.
 func TestDeltaParts(t *testing.T) {
 	var a, b Store
 	for r := ids.Revision(1); r <= 50; r++ {
@@ -100,8 +102,9 @@
 	assert.DeepEqual(t, a.Documents(), b.Documents())
 }
 
-// history draws the platform's publications; some are bad, some deletions.
-func history(t *rapid.T) []Publication {
+// drawPublications draws the publications of the platform, some of which are
+// invalid or deletions.
+func drawPublications(t *rapid.T) []Publication {
 	var list []Publication
 	for r := ids.Revision(1); r <= 30; r++ {
 		key := rapid.SampledFrom([]string{"profile/a", "profile/b", "service/x", "service/y"}).Draw(t, "key")
@@ -121,10 +124,10 @@
 }
 
 // Guards against a state that depends on the order, delay or repetition of
-// reads and deltas, and against a revision that goes down.
+// reads and deltas, and against a revision that decreases.
 func TestStoresConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		platform := history(t)
+		platform := drawPublications(t)
 		read := func(s *Store, upto int) {
 			// Some reads return only the latest publication of each key.
 			latest := rapid.Bool().Draw(t, "latest only")
@@ -172,7 +175,7 @@
 			for _, s := range stores {
 				if after, ok := s.UnconfirmedAfter(); ok {
 					for _, peer := range stores {
-						d := peer.Delta(after, big)
+						d := peer.Delta(after, noLimit)
 						s.ApplyDocuments(d.Documents, d.Upto)
 					}
 				}
--- a/internal/config/sync.go
+++ b/internal/config/sync.go
@@ -10,115 +10,118 @@
 )
 
 const (
-	// watchers is the number of instances in each data centre that watch the
-	// platform; watchKey ranks them.
-	watchers = 2
-	watchKey = "config-watch"
-
-	peerTimeout  = time.Second      // for the answer of a peer
-	readTimeout  = 5 * time.Second  // for the answer to a read
-	watchTimeout = 45 * time.Second // longer than the wait of a watch, 30 s
-	watchGap     = 100 * time.Millisecond
-	joinGap      = 500 * time.Millisecond // between reads while joining
-	// staleGap is the least time until the next read of a platform that is
-	// behind the peers; 2,500 instances cause at most 1,250 reads a second.
-	staleGap = 2 * time.Second
-	// Time between requests for a good value that may have been missed; it
-	// doubles, since perhaps no peer knows one.
-	wantedMin = 5 * time.Second
-	wantedMax = 5 * time.Minute
-
-	// joinPeers is the time that a joining instance gives its peers before it
-	// also reads the platform; joinAlone applies while none has been heard.
-	// joinLimit is the time after which it serves
-	// what it has although a newer revision is known.
-	joinPeers = time.Second
-	joinAlone = 500 * time.Millisecond
-	joinLimit = 3 * time.Second
-	// peerAttempts without an answer lead to a read of the platform.
-	peerAttempts = 3
-	// peerRetry is the time until a peer that did not answer is asked again. It
-	// doubles up to silence: the answer may be waiting for the byte budget of
-	// the link, and each request causes another.
-	peerRetry = 2 * time.Second
-
-	// silence is the time without heartbeats after which an instance reads
-	// the platform itself; silenceJitter spreads the reads of a fleet.
-	silence       = 10 * time.Second
-	silenceJitter = 5 * time.Second
-	// pollGap bounds the age of the configuration when the watchers cannot
-	// reach the platform and do not know it. 2,500 instances cause 33 reads a
-	// second, of 2,000 allowed.
-	pollGap    = time.Minute
-	pollJitter = 30 * time.Second
-	// Time until the next attempt after failed reads of the platform.
-	backoffMin = time.Second
-	backoffMax = 30 * time.Second
-	// watcherBackoff is the maximum for watchers, on whom the others wait: 10
-	// in 5 data centres cause 5 reads a second.
-	watcherBackoff = 2 * time.Second
+	// watcherCount is the number of instances in each data centre that watch the
+	// platform; watchRankKey is the rendezvous key by which they are ranked.
+	watcherCount = 2
+	watchRankKey = "config-watch"
+
+	peerTimeout      = time.Second      // for the response of a peer
+	readTimeout      = 5 * time.Second  // for the response to a read
+	watchTimeout     = 45 * time.Second // longer than a watch waits for a change, 30 s
+	minReadInterval  = 100 * time.Millisecond
+	joinReadInterval = 500 * time.Millisecond // between reads while joining
+	// staleReadInterval is the minimum time between reads of a platform that
+	// reports a lower revision than the peers; 2,500 instances cause at most
+	// 1,250 reads a second.
+	staleReadInterval = 2 * time.Second
+	// Time between requests for a valid value that may have been missed. It
+	// doubles with each request, since possibly no peer has such a value.
+	minUnconfirmedInterval = 5 * time.Second
+	maxUnconfirmedInterval = 5 * time.Minute
+
+	// joinPeerTimeout is the time for which a joining instance queries only its
+	// peers before it also reads the platform; joinAloneTimeout applies while no
+	// peer has sent a heartbeat. joinTimeout is the time after which the instance
+	// serves the configuration that it has although a newer revision is known.
+	joinPeerTimeout  = time.Second
+	joinAloneTimeout = 500 * time.Millisecond
+	joinTimeout      = 3 * time.Second
+	// maxPeerFailures is the number of unanswered requests to peers after which
+	// the platform is read.
+	maxPeerFailures = 3
+	// peerRetryDelay is the time after which a peer that did not respond is
+	// queried again. It doubles up to silenceTimeout: the response may be waiting
+	// for the byte budget of the link, and each request causes another one.
+	peerRetryDelay = 2 * time.Second
+
+	// silenceTimeout is the time without heartbeats after which an instance reads
+	// the platform itself; silenceJitter spreads the reads of all instances.
+	silenceTimeout = 10 * time.Second
+	silenceJitter  = 5 * time.Second
+	// pollInterval bounds the age of the configuration when the watchers lose the
+	// platform without detecting it. 2,500 instances cause 33 reads a second, of
+	// 2,000 allowed.
+	pollInterval = time.Minute
+	pollJitter   = 30 * time.Second
+	// Limits of the time until the next attempt after failed reads of the platform.
+	minBackoff = time.Second
+	maxBackoff = 30 * time.Second
+	// maxWatcherBackoff is the limit for watchers, from which the other instances
+	// learn of new revisions: 10 watchers in 5 data centres cause 5 reads a
+	// second.
+	maxWatcherBackoff = 2 * time.Second
 )
 
-// RequestKind selects what a Syncer asks for.
+// RequestKind is the operation that a Request asks for.
 type RequestKind uint8
 
-// Kinds of requests.
+// Operations requested by a Syncer.
 const (
 	FetchFromPeer RequestKind = iota // send ConfigRequest{After} to Peer
 	ReadPlatform                     // read the changes after After
-	WatchPlatform                    // the same, and wait for one
+	WatchPlatform                    // the same, but wait until there is one
 )
 
-// Request is one thing that a Syncer wants done.
+// Request is an operation that the caller of Syncer.Tick has to carry out.
 type Request struct {
 	Kind  RequestKind
 	Peer  ids.Instance
 	After ids.Revision
 }
 
-// Syncer decides when an instance asks a peer for configuration, reads the
-// platform, or watches it. It performs nothing itself: Tick returns requests,
-// and the results are reported to DeltaApplied and Read.
+// Syncer decides when an instance requests configuration from a peer, reads the
+// platform, or watches it. It performs no I/O: Tick passes requests to a
+// callback, and DeltaApplied and Read take the results.
 type Syncer struct {
 	self  ids.Instance
 	rng   *rand.Rand
 	peers map[ids.Instance]peer
 
-	startedAt ids.Time // start, or the end of a pause
-	ready     bool
-	answered  bool // the platform had nothing newer since startedAt
-	more      bool // the last read brought something, so more may follow
-	sentAfter ids.Revision
-
-	asked     ids.Instance // peer asked; empty when none
-	askedAt   ids.Time
-	attempts  int // requests to peers without an answer
-	wantedAt  ids.Time
-	wantedGap time.Duration
-	inFlight  bool // a read or watch of the platform
-	watching  bool // it is a watch
-	sentAt    ids.Time
-	platform  ids.Revision // highest revision that the platform reported
-	readAfter ids.Time     // no read before, after failures
-	backoff   time.Duration
-	pollAt    ids.Time
-	newsAt    ids.Time // last heartbeat
-	silentFor time.Duration
-
-	serving []ids.Instance // for which watcher holds
+	startedAt    ids.Time // start of the process, or end of its last pause
+	ready        bool
+	readComplete bool         // a read since startedAt returned nothing newer
+	moreExpected bool         // the last read returned changes, so more may follow
+	readRevision ids.Revision // the last read or watch requested the changes after it
+
+	queriedPeer         ids.Instance // peer with an open request; empty when none
+	queriedAt           ids.Time
+	peerFailures        int // requests to peers without a response
+	nextUnconfirmedAt   ids.Time
+	unconfirmedInterval time.Duration // between requests for unconfirmed values
+	readInFlight        bool          // a read or watch of the platform is open
+	watchInFlight       bool          // the open request is a watch
+	readSentAt          ids.Time
+	platformRevision    ids.Revision // highest revision that the platform reported
+	nextReadAt          ids.Time     // no read or watch before
+	backoff             time.Duration
+	nextPollAt          ids.Time
+	lastHeartbeatAt     ids.Time      // last heartbeat of a peer, or a later start of the wait for one
+	silenceLimit        time.Duration // time without heartbeats after which the platform is read
+
+	serving []ids.Instance // the list from which watcher was computed
 	watcher bool
 }
 
 type peer struct {
-	revision ids.Revision
-	heardAt  ids.Time
-	failedAt ids.Time
-	failures int // requests without an answer since the last answer
+	revision        ids.Revision
+	lastHeartbeatAt ids.Time
+	failedAt        ids.Time
+	failures        int // requests without a response since the last response
 }
 
-// usable reports whether the peer may be asked at now.
+// usable reports whether the peer may be queried at now.
 func (p *peer) usable(now ids.Time) bool {
-	return p.failures == 0 || now.Sub(p.failedAt) >= min(peerRetry<<min(p.failures-1, 8), silence)
+	return p.failures == 0 || now.Sub(p.failedAt) >= min(peerRetryDelay<<min(p.failures-1, 8), silenceTimeout)
 }
 
 // NewSyncer returns the syncer of an instance that has no configuration.
@@ -126,145 +129,147 @@
 	return &Syncer{self: self, rng: rand.New(rand.NewPCG(seed, ids.Hash(string(self)))), peers: map[ids.Instance]peer{}}
 }
 
-// Resume starts the join again after a pause. What peers reported before it
-// is no longer evidence.
+// Resume starts the join again after a pause of the process. Revisions that
+// peers reported before the pause are outdated and discarded.
 func (y *Syncer) Resume(now ids.Time) {
 	clear(y.peers)
-	y.begin(now)
+	y.startJoin(now)
 }
 
-func (y *Syncer) begin(now ids.Time) {
-	y.startedAt, y.newsAt, y.ready, y.answered = now, now, false, false
-	y.more = false
-	y.asked, y.attempts, y.inFlight, y.readAfter, y.backoff = "", 0, false, 0, 0
-	y.pollAt = now.Add(pollGap + y.jitter(pollJitter))
-	y.silentFor = silence + y.jitter(silenceJitter)
+func (y *Syncer) startJoin(now ids.Time) {
+	y.startedAt, y.lastHeartbeatAt, y.ready, y.readComplete = now, now, false, false
+	y.moreExpected = false
+	y.queriedPeer, y.peerFailures, y.readInFlight, y.nextReadAt, y.backoff = "", 0, false, 0, 0
+	y.nextPollAt = now.Add(pollInterval + y.jitter(pollJitter))
+	y.silenceLimit = silenceTimeout + y.jitter(silenceJitter)
 }
 
 func (y *Syncer) jitter(d time.Duration) time.Duration { return time.Duration(y.rng.Int64N(int64(d))) }
 
-// Ready reports whether the configuration is the newest one found, or the
-// time to look for it has passed and there is at least a stale one.
+// Ready reports whether the configuration is the newest one found, or
+// joinTimeout has passed and there is at least a stale one.
 func (y *Syncer) Ready() bool { return y.ready }
 
-// ObserveRevision handles the revision in a heartbeat.
+// ObserveRevision records the revision announced in a heartbeat of a peer.
 func (y *Syncer) ObserveRevision(now ids.Time, from ids.Instance, r ids.Revision) {
-	if y.backoff > backoffMin && r > y.newest() {
-		// A peer has news, so the platform can probably be reached again.
+	if y.backoff > minBackoff && r > y.newestPeerRevision() {
+		// A peer has a newer revision, so the platform is probably reachable again.
 		// 2,500 instances cause at most 1,250 reads a second.
-		y.backoff = backoffMin
-		y.readAfter = min(y.readAfter, now.Add(y.jitter(staleGap)))
+		y.backoff = minBackoff
+		y.nextReadAt = min(y.nextReadAt, now.Add(y.jitter(staleReadInterval)))
 	}
 	p := y.peers[from]
-	p.revision, p.heardAt = r, now
+	p.revision, p.lastHeartbeatAt = r, now
 	y.peers[from] = p
-	y.newsAt = now
+	y.lastHeartbeatAt = now
 }
 
-// DeltaApplied handles a ConfigDelta that has been applied to the store.
+// DeltaApplied records that a ConfigDelta of a peer has been applied to the
+// store.
 func (y *Syncer) DeltaApplied(now ids.Time, from ids.Instance) {
 	if p, ok := y.peers[from]; ok {
 		p.failures = 0
 		y.peers[from] = p
 	}
-	if from == y.asked {
-		y.asked, y.attempts = "", 0
+	if from == y.queriedPeer {
+		y.queriedPeer, y.peerFailures = "", 0
 	}
 }
 
-// Read handles the result of a read or watch after it was published to the
-// store. upto is the highest revision that the platform knows.
+// Read handles the result of a read or watch after its publications have been
+// applied to the store. upto is the highest revision that the platform reported;
+// ok is false when the request failed.
 func (y *Syncer) Read(now ids.Time, upto ids.Revision, ok bool) {
-	y.inFlight, y.watching = false, false
+	y.readInFlight, y.watchInFlight = false, false
 	if !ok {
-		y.failed(now)
+		y.backOff(now)
 		return
 	}
-	// A read returns at most 1 MB, so only one that brings nothing new shows
-	// that everything has been read.
-	y.more = upto > y.sentAfter
-	y.answered, y.backoff = y.answered || !y.more, 0
-	y.platform = upto
-	y.pollAt = now.Add(pollGap + y.jitter(pollJitter))
-	y.readAfter = now.Add(watchGap)
+	// A read returns at most 1 MB, so only a read without changes shows that
+	// everything has been read.
+	y.moreExpected = upto > y.readRevision
+	y.readComplete, y.backoff = y.readComplete || !y.moreExpected, 0
+	y.platformRevision = upto
+	y.nextPollAt = now.Add(pollInterval + y.jitter(pollJitter))
+	y.nextReadAt = now.Add(minReadInterval)
 	switch {
-	case !y.ready && !y.more:
-		y.readAfter = now.Add(joinGap)
-	case upto < y.newest():
-		y.readAfter = now.Add(staleGap + y.jitter(staleGap))
+	case !y.ready && !y.moreExpected:
+		y.nextReadAt = now.Add(joinReadInterval)
+	case upto < y.newestPeerRevision():
+		y.nextReadAt = now.Add(staleReadInterval + y.jitter(staleReadInterval))
 	}
 }
 
-func (y *Syncer) failed(now ids.Time) {
-	limit := backoffMax
+func (y *Syncer) backOff(now ids.Time) {
+	limit := maxBackoff
 	if y.watcher {
-		limit = watcherBackoff
+		limit = maxWatcherBackoff
 	}
-	y.backoff = min(max(2*y.backoff, backoffMin), limit)
-	y.readAfter = now.Add(y.backoff/2 + y.jitter(y.backoff))
+	y.backoff = min(max(2*y.backoff, minBackoff), limit)
+	y.nextReadAt = now.Add(y.backoff/2 + y.jitter(y.backoff))
 }
 
-// Tick returns what to do now. serving lists the serving instances of the own
-// data centre. It is called every 10 ms.
+// Tick calls do for each request that is due. serving lists the serving instances
+// of the local data centre. Tick is called every 10 ms.
 func (y *Syncer) Tick(now ids.Time, s *Store, serving []ids.Instance, do func(Request)) {
 	if y.startedAt == 0 {
-		y.begin(now)
+		y.startJoin(now)
 	}
-	y.expire(now)
+	y.expireRequests(now)
 	if !y.ready {
-		y.checkReady(now, s.Revision())
+		y.updateReady(now, s.Revision())
 	}
-	y.askPeer(now, s, do)
-	if y.inFlight || now < y.readAfter {
+	y.queryPeer(now, s, do)
+	if y.readInFlight || now < y.nextReadAt {
 		return
 	}
 	watch := y.isWatcher(serving)
 	switch {
-	case y.mustRead(now, s.Revision(), watch):
-		y.silentFor = silence + y.jitter(silenceJitter)
-		y.newsAt = max(y.newsAt, now.Add(-silence/2)) // next read of a silent instance
-		y.attempts = 0
+	case y.shouldRead(now, s.Revision(), watch):
+		y.silenceLimit = silenceTimeout + y.jitter(silenceJitter)
+		y.lastHeartbeatAt = max(y.lastHeartbeatAt, now.Add(-silenceTimeout/2)) // the next read because of silence is due at least 5 s later
+		y.peerFailures = 0
 	case watch:
-		y.watching = true
+		y.watchInFlight = true
 	default:
 		return
 	}
-	y.inFlight, y.sentAt, y.sentAfter = true, now, s.Revision()
+	y.readInFlight, y.readSentAt, y.readRevision = true, now, s.Revision()
 	kind := ReadPlatform
-	if y.watching {
+	if y.watchInFlight {
 		kind = WatchPlatform
 	}
 	do(Request{Kind: kind, After: s.Revision()})
 }
 
-// expire gives up requests that went unanswered: a connection may go silent
-// without being closed.
-func (y *Syncer) expire(now ids.Time) {
-	if y.asked != "" && now.Sub(y.askedAt) >= peerTimeout {
-		p := y.peers[y.asked]
+// expireRequests abandons requests whose response is overdue, since a connection
+// can fail without being closed. It also removes peers without heartbeats.
+func (y *Syncer) expireRequests(now ids.Time) {
+	if y.queriedPeer != "" && now.Sub(y.queriedAt) >= peerTimeout {
+		p := y.peers[y.queriedPeer]
 		p.failedAt = now
 		p.failures++
-		y.peers[y.asked] = p
-		y.asked = ""
-		y.attempts++
+		y.peers[y.queriedPeer] = p
+		y.queriedPeer = ""
+		y.peerFailures++
 	}
 	limit := readTimeout
-	if y.watching {
+	if y.watchInFlight {
 		limit = watchTimeout
 	}
-	if y.inFlight && now.Sub(y.sentAt) >= limit {
-		y.inFlight, y.watching = false, false
-		y.failed(now)
+	if y.readInFlight && now.Sub(y.readSentAt) >= limit {
+		y.readInFlight, y.watchInFlight = false, false
+		y.backOff(now)
 	}
 	for id, p := range y.peers {
-		if now.Sub(p.heardAt) >= silence {
+		if now.Sub(p.lastHeartbeatAt) >= silenceTimeout {
 			delete(y.peers, id)
 		}
 	}
 }
 
-// newest returns the highest revision reported by a peer.
-func (y *Syncer) newest() ids.Revision {
+// newestPeerRevision returns the highest revision reported by a peer.
+func (y *Syncer) newestPeerRevision() ids.Revision {
 	var r ids.Revision
 	for _, p := range y.peers {
 		r = max(r, p.revision)
@@ -272,74 +277,75 @@
 	return r
 }
 
-func (y *Syncer) checkReady(now ids.Time, have ids.Revision) {
-	newest := max(y.newest(), y.platform)
+func (y *Syncer) updateReady(now ids.Time, ownRevision ids.Revision) {
+	newest := max(y.newestPeerRevision(), y.platformRevision)
 	waited := now.Sub(y.startedAt)
-	found := have >= newest && (have > 0 && len(y.peers) > 0 || y.answered && waited >= joinPeers)
-	y.ready = found || waited >= joinLimit && have > 0
+	upToDate := ownRevision >= newest && (ownRevision > 0 && len(y.peers) > 0 || y.readComplete && waited >= joinPeerTimeout)
+	y.ready = upToDate || waited >= joinTimeout && ownRevision > 0
 }
 
-// askPeer asks a peer that reported a newer revision, or any peer for good
-// values that were missed.
-func (y *Syncer) askPeer(now ids.Time, s *Store, do func(Request)) {
-	if y.asked != "" {
+// queryPeer requests changes from a peer that reported a newer revision or, when
+// there is none, from any peer for valid values that may have been missed.
+func (y *Syncer) queryPeer(now ids.Time, s *Store, do func(Request)) {
+	if y.queriedPeer != "" {
 		return
 	}
-	have := s.Revision()
-	after, behind := have, y.newest() > have
-	least := have + 1
+	ownRevision := s.Revision()
+	after, behind := ownRevision, y.newestPeerRevision() > ownRevision
+	minRevision := ownRevision + 1
 	if !behind {
-		var wanted bool
-		if after, wanted = s.UnconfirmedAfter(); !wanted {
-			y.wantedGap = 0
+		var unconfirmed bool
+		if after, unconfirmed = s.UnconfirmedAfter(); !unconfirmed {
+			y.unconfirmedInterval = 0
 			return
 		}
-		if now < y.wantedAt {
+		if now < y.nextUnconfirmedAt {
 			return
 		}
-		least = 0
-		y.wantedGap = min(max(2*y.wantedGap, wantedMin), wantedMax)
-		y.wantedAt = now.Add(y.wantedGap)
+		minRevision = 0
+		y.unconfirmedInterval = min(max(2*y.unconfirmedInterval, minUnconfirmedInterval), maxUnconfirmedInterval)
+		y.nextUnconfirmedAt = now.Add(y.unconfirmedInterval)
 	}
 	var list []ids.Instance
 	for id, p := range y.peers {
-		if p.revision >= least && p.usable(now) {
+		if p.revision >= minRevision && p.usable(now) {
 			list = append(list, id)
 		}
 	}
 	if len(list) == 0 {
 		if behind {
-			y.attempts = peerAttempts
+			y.peerFailures = maxPeerFailures // no peer can respond: read the platform
 		}
 		return
 	}
 	slices.Sort(list)
-	y.asked, y.askedAt = list[y.rng.IntN(len(list))], now
-	do(Request{FetchFromPeer, y.asked, after})
+	y.queriedPeer, y.queriedAt = list[y.rng.IntN(len(list))], now
+	do(Request{FetchFromPeer, y.queriedPeer, after})
 }
 
-// mustRead reports whether this instance reads the platform itself now.
-func (y *Syncer) mustRead(now ids.Time, have ids.Revision, watch bool) bool {
+// shouldRead reports whether this instance should read the platform itself now.
+func (y *Syncer) shouldRead(now ids.Time, ownRevision ids.Revision, watch bool) bool {
 	switch {
 	case !y.ready:
-		// Peers first; a large difference takes too long on control links.
+		// Peers are queried first, but a large difference takes too long to
+		// transfer over control links.
 		waited := now.Sub(y.startedAt)
-		return waited >= joinPeers || y.more || len(y.peers) == 0 && !y.answered && waited >= joinAlone
-	case y.platform > have || y.more && !watch:
+		return waited >= joinPeerTimeout || y.moreExpected || len(y.peers) == 0 && !y.readComplete && waited >= joinAloneTimeout
+	case y.platformRevision > ownRevision || y.moreExpected && !watch:
 		return true
-	case y.attempts >= peerAttempts:
+	case y.peerFailures >= maxPeerFailures:
 		return true
 	case watch:
 		return false
 	}
-	return now.Sub(y.newsAt) >= y.silentFor || now >= y.pollAt
+	return now.Sub(y.lastHeartbeatAt) >= y.silenceLimit || now >= y.nextPollAt
 }
 
-// isWatcher reports whether this instance is one of those ranked first. The
-// result is kept for as long as the same list is passed.
+// isWatcher reports whether this instance is one of the Watchers. The result is
+// cached for as long as the same slice is passed.
 func (y *Syncer) isWatcher(serving []ids.Instance) bool {
-	same := len(serving) == len(y.serving) && (len(serving) == 0 || &serving[0] == &y.serving[0])
-	if !same {
+	unchanged := len(serving) == len(y.serving) && (len(serving) == 0 || &serving[0] == &y.serving[0])
+	if !unchanged {
 		y.serving, y.watcher = serving, slices.Contains(Watchers(serving), y.self)
 	}
 	return y.watcher
@@ -353,13 +359,13 @@
 		nodes[i] = ids.Hash(string(id))
 	}
 	var out []ids.Instance
-	for _, i := range ids.Rank(nil, nodes, ids.Hash(watchKey), watchers) {
+	for _, i := range ids.Rank(nil, nodes, ids.Hash(watchRankKey), watcherCount) {
 		out = append(out, serving[i])
 	}
 	return out
 }
 
-// Peers returns the revision that each peer reported last, for inspection.
+// Peers returns the last revision reported by each peer, for inspection.
 func (y *Syncer) Peers() map[ids.Instance]ids.Revision {
 	out := make(map[ids.Instance]ids.Revision, len(y.peers))
 	for id, p := range maps.All(y.peers) {
--- a/internal/config/tree.go
+++ b/internal/config/tree.go
@@ -11,24 +11,25 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// maxDocument is the greatest value that the platform holds.
-const maxDocument = 1 << 20
+// maxDocumentBytes is the maximum size of a value that the platform stores.
+const maxDocumentBytes = 1 << 20
 
-// table reads the keys of one TOML table and records every fault. Keys that
-// are not read are faults as well: a misspelt key must not become a default.
-// The decoder's own strict mode would stop at the first wrong type.
+// table reads the keys of one TOML table and records every fault. Unknown keys
+// are faults too, since a misspelt key would otherwise silently leave its
+// setting at the default. The strict mode of the TOML decoder is not used
+// because it stops at the first value of a wrong type.
 type table struct {
-	f    *faults
-	path string
-	m    map[string]any
-	read []string
+	faults   *faults
+	path     string
+	values   map[string]any
+	readKeys []string
 }
 
-// parse decodes a document. It returns nil, with a fault recorded, when the
+// parseTable decodes a document. It returns nil, with a fault recorded, when the
 // document is not valid TOML.
-func parse(f *faults, data []byte) *table {
-	if len(data) > maxDocument {
-		f.add("", "%d bytes, allowed: at most %d", len(data), maxDocument)
+func parseTable(f *faults, data []byte) *table {
+	if len(data) > maxDocumentBytes {
+		f.add("", "%d bytes, allowed: at most %d", len(data), maxDocumentBytes)
 		return nil
 	}
 	m := map[string]any{}
@@ -42,42 +43,42 @@
 		f.list = append(f.list, fault)
 		return nil
 	}
-	f.lines = lines(data)
-	return &table{f: f, m: m}
+	f.lines = keyLines(data)
+	return &table{faults: f, values: m}
 }
 
-// lines maps every key path to the line on which it is set.
-func lines(data []byte) map[string]int {
-	found := map[string]int{}
-	count := map[string]int{}
+// keyLines maps every key path to the line on which it is set.
+func keyLines(data []byte) map[string]int {
+	lineOf := map[string]int{}
+	arrayLengths := map[string]int{}
 	prefix := ""
 	var p unstable.Parser
 	p.Reset(data)
 	for p.NextExpression() {
-		e := p.Expression()
+		expr := p.Expression()
 		path, line := "", 0
-		if e.Kind != unstable.KeyValue {
+		if expr.Kind != unstable.KeyValue {
 			prefix = ""
 		}
-		for it := e.Key(); it.Next(); {
+		for it := expr.Key(); it.Next(); {
 			n := it.Node()
 			path = join(path, string(n.Data))
 			line = p.Shape(n.Raw).Start.Line
-			if count[path] > 0 && !it.IsLast() {
-				path = fmt.Sprintf("%s[%d]", path, count[path]-1)
+			if arrayLengths[path] > 0 && !it.IsLast() {
+				path = fmt.Sprintf("%s[%d]", path, arrayLengths[path]-1)
 			}
 		}
-		if e.Kind == unstable.ArrayTable {
-			count[path]++
-			path = fmt.Sprintf("%s[%d]", path, count[path]-1)
+		if expr.Kind == unstable.ArrayTable {
+			arrayLengths[path]++
+			path = fmt.Sprintf("%s[%d]", path, arrayLengths[path]-1)
 		}
 		path = join(prefix, path)
-		if e.Kind != unstable.KeyValue {
+		if expr.Kind != unstable.KeyValue {
 			prefix = path
 		}
-		found[path] = line
+		lineOf[path] = line
 	}
-	return found
+	return lineOf
 }
 
 func join(path, key string) string {
@@ -87,62 +88,62 @@
 	return path + "." + key
 }
 
-// value returns a key and notes that it is known.
+// value returns the value of key and records the key as known.
 func (t *table) value(key string) (any, bool) {
-	t.read = append(t.read, key)
-	x, ok := t.m[key]
+	t.readKeys = append(t.readKeys, key)
+	x, ok := t.values[key]
 	return x, ok
 }
 
-func (t *table) fault(key, format string, a ...any) { t.f.add(join(t.path, key), format, a...) }
+func (t *table) fault(key, format string, a ...any) { t.faults.add(join(t.path, key), format, a...) }
 
-// done records the keys that were not read.
-func (t *table) done() {
-	for key := range t.m {
-		if !slices.Contains(t.read, key) {
-			t.fault(key, "unknown key, allowed: %s", strings.Join(t.read, ", "))
+// reportUnknownKeys records a fault for every key that was not read.
+func (t *table) reportUnknownKeys() {
+	for key := range t.values {
+		if !slices.Contains(t.readKeys, key) {
+			t.fault(key, "unknown key, allowed: %s", strings.Join(t.readKeys, ", "))
 		}
 	}
 }
 
-func (t *table) integer(key string, byDefault, lo, hi int64) int64 {
+func (t *table) integer(key string, defaultValue, lo, hi int64) int64 {
 	x, ok := t.value(key)
 	if !ok {
-		return byDefault
+		return defaultValue
 	}
 	n, ok := x.(int64)
 	if !ok {
-		t.fault(key, "%s, allowed: an integer from %d to %d", kind(x), lo, hi)
-		return byDefault
+		t.fault(key, "%s, allowed: an integer from %d to %d", typeName(x), lo, hi)
+		return defaultValue
 	}
 	if n < lo || n > hi {
 		t.fault(key, "%d, allowed: %d to %d", n, lo, hi)
-		return byDefault
+		return defaultValue
 	}
 	return n
 }
 
-func (t *table) milliseconds(key string, byDefault, lo, hi time.Duration) time.Duration {
-	return time.Duration(t.integer(key, byDefault.Milliseconds(), lo.Milliseconds(), hi.Milliseconds())) * time.Millisecond
+func (t *table) milliseconds(key string, defaultValue, lo, hi time.Duration) time.Duration {
+	return time.Duration(t.integer(key, defaultValue.Milliseconds(), lo.Milliseconds(), hi.Milliseconds())) * time.Millisecond
 }
 
-func (t *table) float(key string, byDefault, lo, hi float64) float64 {
+func (t *table) float(key string, defaultValue, lo, hi float64) float64 {
 	x, ok := t.value(key)
 	if !ok {
-		return byDefault
+		return defaultValue
 	}
 	n, ok := x.(float64)
 	if i, isInt := x.(int64); isInt {
 		n, ok = float64(i), true
 	}
 	if !ok {
-		t.fault(key, "%s, allowed: a number from %g to %g", kind(x), lo, hi)
-		return byDefault
+		t.fault(key, "%s, allowed: a number from %g to %g", typeName(x), lo, hi)
+		return defaultValue
 	}
-	// The negated form also refuses NaN.
+	// The negated form also rejects NaN.
 	if !(n >= lo && n <= hi) {
 		t.fault(key, "%g, allowed: %g to %g", n, lo, hi)
-		return byDefault
+		return defaultValue
 	}
 	return n
 }
@@ -151,13 +152,14 @@
 	x, ok := t.value(key)
 	b, isBool := x.(bool)
 	if ok && !isBool {
-		t.fault(key, "%s, allowed: true or false", kind(x))
+		t.fault(key, "%s, allowed: true or false", typeName(x))
 	}
 	return b
 }
 
-// text returns a string; an absent one is a fault when required.
-func (t *table) text(key, allowed string, required bool) (string, bool) {
+// stringValue returns the string at key. A missing key is a fault when required
+// is set.
+func (t *table) stringValue(key, allowed string, required bool) (string, bool) {
 	x, ok := t.value(key)
 	if !ok {
 		if required {
@@ -167,26 +169,26 @@
 	}
 	s, ok := x.(string)
 	if !ok {
-		t.fault(key, "%s, allowed: %s", kind(x), allowed)
+		t.fault(key, "%s, allowed: %s", typeName(x), allowed)
 	}
 	return s, ok
 }
 
-func (t *table) texts(key, allowed string) []string {
+func (t *table) stringList(key, allowed string) []string {
 	x, ok := t.value(key)
 	if !ok {
 		return nil
 	}
 	list, ok := x.([]any)
 	if !ok {
-		t.fault(key, "%s, allowed: a list of %s", kind(x), allowed)
+		t.fault(key, "%s, allowed: a list of %s", typeName(x), allowed)
 		return nil
 	}
 	var out []string
 	for i, e := range list {
 		s, ok := e.(string)
 		if !ok {
-			t.fault(fmt.Sprintf("%s[%d]", key, i), "%s, allowed: %s", kind(e), allowed)
+			t.fault(fmt.Sprintf("%s[%d]", key, i), "%s, allowed: %s", typeName(e), allowed)
 			continue
 		}
 		out = append(out, s)
@@ -194,18 +196,19 @@
 	return out
 }
 
-// table returns a sub-table, empty when absent.
+// table returns the sub-table at key, or an empty table when the key is missing.
 func (t *table) table(key string) *table {
-	sub := &table{f: t.f, path: join(t.path, key)}
+	sub := &table{faults: t.faults, path: join(t.path, key)}
 	if x, ok := t.value(key); ok {
-		if sub.m, ok = x.(map[string]any); !ok {
-			t.fault(key, "%s, allowed: a table", kind(x))
+		if sub.values, ok = x.(map[string]any); !ok {
+			t.fault(key, "%s, allowed: a table", typeName(x))
 		}
 	}
 	return sub
 }
 
-// tables returns an array of tables, at most limit of them.
+// tables returns the array of tables at key. More than limit entries are a
+// fault.
 func (t *table) tables(key string, limit int) []*table {
 	x, ok := t.value(key)
 	if !ok {
@@ -213,7 +216,7 @@
 	}
 	list, ok := x.([]any)
 	if !ok {
-		t.fault(key, "%s, allowed: [[%s]] tables", kind(x), key)
+		t.fault(key, "%s, allowed: [[%s]] tables", typeName(x), key)
 		return nil
 	}
 	if len(list) > limit {
@@ -225,16 +228,16 @@
 		path := fmt.Sprintf("%s[%d]", key, i)
 		m, ok := e.(map[string]any)
 		if !ok {
-			t.fault(path, "%s, allowed: a table", kind(e))
+			t.fault(path, "%s, allowed: a table", typeName(e))
 			continue
 		}
-		out = append(out, &table{f: t.f, path: join(t.path, path), m: m})
+		out = append(out, &table{faults: t.faults, path: join(t.path, path), values: m})
 	}
 	return out
 }
 
-// kind names the TOML type of a decoded value.
-func kind(x any) string {
+// typeName returns the TOML type of a decoded value for error messages.
+func typeName(x any) string {
 	switch x.(type) {
 	case string:
 		return "a string"
--- a/internal/member/bench_test.go
+++ b/internal/member/bench_test.go
@@ -12,12 +12,12 @@
 
 var benchSizes = []int{5, 50, 500, 2500}
 
-// known returns a view that knows size serving members, itself included.
-func known(size int) *View {
-	v := New(self(name(0), 1, "anand"), nil, 1)
+// viewOfSize returns a view of size serving members, including the local one.
+func viewOfSize(size int) *View {
+	v := New(newMember(instanceID(0), 1, "anand"), nil, 1)
 	v.Tick(start, discard)
 	for i := 1; i < size; i++ {
-		m := self(name(i), 1, "anand")
+		m := newMember(instanceID(i), 1, "anand")
 		m.Lifecycle = peerwire.Serving
 		v.merge(&m, -1)
 	}
@@ -35,7 +35,7 @@
 
 func BenchmarkHeartbeat(b *testing.B) {
 	perSize(b, func(b *testing.B, size int) {
-		v := known(size)
+		v := viewOfSize(size)
 		h := &peerwire.Heartbeat{Seq: 1, Clock: start, Digest: v.digest32()}
 		from := v.links[0].id
 		for b.Loop() {
@@ -46,8 +46,8 @@
 
 func BenchmarkTick(b *testing.B) {
 	perSize(b, func(b *testing.B, size int) {
-		v := known(size)
-		v.recent = nil
+		v := viewOfSize(size)
+		v.recentChanges = nil
 		now := start
 		h := &peerwire.Heartbeat{Seq: 1, Digest: v.digest32()}
 		for b.Loop() {
@@ -63,17 +63,17 @@
 }
 
 // BenchmarkSimulated reports the simulated seconds until all views agree after
-// a change among 500 instances, with 2 KB/s enforced by the link for each node.
+// a change among 500 instances, with a link limit of 2 KB/s for each node.
 func BenchmarkSimulated(b *testing.B) {
 	for _, c := range []struct {
 		name   string
 		change func(s *sim)
 	}{
-		{"crash", func(s *sim) { s.nodes[name(1)].dead = true }},
-		{"restart", func(s *sim) { s.start(name(1), 2) }},
+		{"crash", func(s *sim) { s.nodes[instanceID(1)].dead = true }},
+		{"restart", func(s *sim) { s.start(instanceID(1), 2) }},
 		{"rack-of-40", func(s *sim) {
 			for i := 40; i < 80; i++ {
-				s.nodes[name(i)].dead = true
+				s.nodes[instanceID(i)].dead = true
 			}
 		}},
 	} {
@@ -81,7 +81,7 @@
 			for b.Loop() {
 				s := newSim(500)
 				s.step, s.linkRate = 50*time.Millisecond, 2048
-				s.warm()
+				s.setAllServing()
 				s.run(2 * time.Second)
 				c.change(s)
 				s.run(100 * time.Millisecond)
@@ -98,30 +98,31 @@
 	})
 }
 
-// BenchmarkDelta applies one record by which a member leaves or enters the
-// serving list, and computes the list.
+// BenchmarkDelta merges one record that removes a member from the serving list or
+// adds it, and computes the list.
 func BenchmarkDelta(b *testing.B) {
 	perSize(b, func(b *testing.B, size int) {
-		v := known(size)
-		m := self(name(1), 1, "anand")
+		v := viewOfSize(size)
+		m := newMember(instanceID(1), 1, "anand")
 		m.Lifecycle = peerwire.Serving
 		d := &peerwire.MemberDelta{Members: []peerwire.Member{m}}
 		for b.Loop() {
 			d.Members[0].Counter++
 			d.Members[0].Lifecycle ^= peerwire.Joining ^ peerwire.Serving
-			v.HandleDelta(start, name(1), d)
+			v.HandleDelta(start, instanceID(1), d)
 			v.Changed()
 		}
 	})
 }
 
+// BenchmarkMemory reports the heap size of a view for each member.
 func BenchmarkMemory(b *testing.B) {
 	perSize(b, func(b *testing.B, size int) {
 		for b.Loop() {
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			v := known(size)
+			v := viewOfSize(size)
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(size), "B/member")
--- a/internal/member/cross.go
+++ b/internal/member/cross.go
@@ -11,116 +11,122 @@
 )
 
 const (
-	// crossInstances is the number of instances on each side of the links
+	// crossLinkInstances is the number of instances on each side of the links
 	// between two data centres.
-	crossInstances = 2
-	// crossGap is the heartbeat interval between data centres. 16 such links
-	// at 5 data centres cost about 0.8 KB/s.
-	crossGap = 2 * time.Second
-	// crossSilent is the time without an answer after which another instance
-	// of that data centre is tried, for crossAvoid.
-	crossSilent = 3*crossGap + missedSlack
-	crossAvoid  = time.Minute
-	// crossKey ranks the instances for these links.
-	crossKey = "config-link"
-	maxCross = 64
+	crossLinkInstances = 2
+	// crossHeartbeatInterval is the heartbeat interval between data centres. With
+	// 5 data centres an instance has 16 such links, which cost about 0.8 KB/s.
+	crossHeartbeatInterval = 2 * time.Second
+	// crossTimeout is the time without a heartbeat after which another instance of
+	// the remote data centre is selected and the unresponsive one is not selected
+	// for crossRetryDelay.
+	crossTimeout    = 3*crossHeartbeatInterval + heartbeatSlack
+	crossRetryDelay = time.Minute
+	// crossRankKey is the rendezvous key that ranks the instances for these links.
+	crossRankKey  = "config-link"
+	maxCrossPeers = 64
 )
 
-// cross holds the links to other data centres. They carry configuration
-// revisions only; their instances are not part of the membership view.
+// cross holds the links to other data centres, which carry configuration
+// revisions only. Instances of other data centres are not part of the membership
+// view.
 type cross struct {
-	peers        map[ids.Instance]*crossPeer
-	crossAt      ids.Time
-	asking       ids.Instance // receives a request for its complete view
-	answerLatest ids.Instance // receives the latest changes
+	crossPeers      map[ids.Instance]*crossPeer
+	nextCrossTickAt ids.Time
+	fullRequestTo   ids.Instance // instance to which a request for its complete view is sent next
+	latestChangesTo ids.Instance // instance to which the latest changes are sent next
 }
 
 type crossPeer struct {
-	dataCentre ids.DataCentre
-	addr       string
-	heardAt    ids.Time
-	startedAt  ids.Time // of the present attempt; 0 when there is none
-	avoidUntil ids.Time
-	due        bool // answer a heartbeat
-	sent       uint64
+	dataCentre      ids.DataCentre
+	addr            string
+	lastHeartbeatAt ids.Time
+	startedAt       ids.Time // start of the present attempt to reach the peer; 0 when there is none
+	avoidUntil      ids.Time
+	replyDue        bool // a heartbeat has to be answered
+	heartbeatsSent  uint64
 }
 
-// crossHeard handles a heartbeat of an instance of another data centre and
-// reports whether it was one.
-func (v *View) crossHeard(from ids.Instance, h *peerwire.Heartbeat) bool {
+// handleCrossHeartbeat handles a heartbeat of an instance of another data centre.
+// It returns false when the sender is not such an instance.
+func (v *View) handleCrossHeartbeat(from ids.Instance, h *peerwire.Heartbeat) bool {
 	for i := range h.Updates {
 		if m := &h.Updates[i]; m.ID == from && m.DataCentre != v.self.DataCentre {
-			if p := v.crossPeer(from, m.DataCentre); p != nil {
+			if p := v.addCrossPeer(from, m.DataCentre); p != nil {
 				p.addr = m.PeerAddr
 			}
 		}
 	}
-	p := v.peers[from]
+	p := v.crossPeers[from]
 	if p == nil {
 		return false
 	}
-	p.heardAt = v.now
+	p.lastHeartbeatAt = v.now
 	p.avoidUntil = 0
-	p.due = p.due || h.Seq != answerSeq
+	p.replyDue = p.replyDue || h.Seq != replySeq
 	return true
 }
 
-func (v *View) crossPeer(id ids.Instance, dc ids.DataCentre) *crossPeer {
-	p := v.peers[id]
-	if p == nil && len(v.peers) < maxCross && v.members[id] == nil {
+// addCrossPeer returns the peer id of another data centre and adds it if it is
+// new. It returns nil when there are too many peers or id is a local member.
+func (v *View) addCrossPeer(id ids.Instance, dc ids.DataCentre) *crossPeer {
+	p := v.crossPeers[id]
+	if p == nil && len(v.crossPeers) < maxCrossPeers && v.members[id] == nil {
 		p = &crossPeer{dataCentre: dc}
-		v.peers[id] = p
+		v.crossPeers[id] = p
 	}
 	return p
 }
 
-func (v *View) crossTick(send sender) {
-	if v.now < v.crossAt {
+// crossTick sends the heartbeats to other data centres that are due and removes
+// peers that have been silent for long.
+func (v *View) crossTick(send sendFunc) {
+	if v.now < v.nextCrossTickAt {
 		return
 	}
-	v.crossAt = v.now.Add(crossGap)
-	for id, p := range v.peers {
-		if p.startedAt == 0 && v.now.Sub(p.heardAt) > crossAvoid && v.now >= p.avoidUntil {
-			delete(v.peers, id)
+	v.nextCrossTickAt = v.now.Add(crossHeartbeatInterval)
+	for id, p := range v.crossPeers {
+		if p.startedAt == 0 && v.now.Sub(p.lastHeartbeatAt) > crossRetryDelay && v.now >= p.avoidUntil {
+			delete(v.crossPeers, id)
 		}
 	}
 	chosen := v.crossTargets()
-	for _, id := range v.crossKnown() {
-		p := v.peers[id]
+	for _, id := range v.sortedCrossPeers() {
+		p := v.crossPeers[id]
 		initiate := slices.Contains(chosen, id)
 		if !initiate {
 			p.startedAt = 0
 		}
-		if !initiate && !p.due {
+		if !initiate && !p.replyDue {
 			continue
 		}
-		p.due = false
-		p.sent++
+		p.replyDue = false
+		p.heartbeatsSent++
 		var updates []peerwire.Member
-		if p.heardAt == 0 || p.sent == 1 || v.now.Sub(p.heardAt) > crossSilent {
+		if p.lastHeartbeatAt == 0 || p.heartbeatsSent == 1 || v.now.Sub(p.lastHeartbeatAt) > crossTimeout {
 			updates = []peerwire.Member{v.self.Member}
 		}
-		seq := p.sent
+		seq := p.heartbeatsSent
 		if !initiate {
-			seq = answerSeq
+			seq = replySeq
 		}
 		v.sendHeartbeat(id, seq, updates, send)
 	}
 }
 
-func (v *View) crossKnown() []ids.Instance {
-	return slices.Sorted(maps.Keys(v.peers))
+func (v *View) sortedCrossPeers() []ids.Instance {
+	return slices.Sorted(maps.Keys(v.crossPeers))
 }
 
-// crossTargets returns the instances of other data centres to which this one
-// keeps a link now. It is empty unless this instance is one of the first two
-// serving instances of its own data centre by rendezvous.
+// crossTargets returns the instances of other data centres to which this instance
+// keeps a link. The list is empty unless this instance is one of the two serving
+// instances of its data centre with the highest rendezvous weights.
 func (v *View) crossTargets() []ids.Instance {
-	if !slices.Contains(ranked(v.Serving(), crossKey, crossInstances), v.id) {
+	if !slices.Contains(rankByRendezvous(v.Serving(), crossRankKey, crossLinkInstances), v.id) {
 		return nil
 	}
 	byCentre := map[ids.DataCentre][]Seed{}
-	for _, seeds := range [][]Seed{v.listed, v.settings} {
+	for _, seeds := range [][]Seed{v.platformSeeds, v.configuredSeeds} {
 		for _, s := range seeds {
 			if s.DataCentre != v.self.DataCentre {
 				byCentre[s.DataCentre] = append(byCentre[s.DataCentre], s)
@@ -129,12 +135,14 @@
 	}
 	var chosen []ids.Instance
 	for _, dc := range slices.Sorted(maps.Keys(byCentre)) {
-		chosen = append(chosen, v.crossIn(dc, byCentre[dc])...)
+		chosen = append(chosen, v.crossTargetsIn(dc, byCentre[dc])...)
 	}
 	return chosen
 }
 
-func (v *View) crossIn(dc ids.DataCentre, seeds []Seed) []ids.Instance {
+// crossTargetsIn returns the seeds in data centre dc to which this instance keeps
+// a link.
+func (v *View) crossTargetsIn(dc ids.DataCentre, seeds []Seed) []ids.Instance {
 	slices.SortFunc(seeds, func(a, b Seed) int { return cmp.Compare(a.ID, b.ID) })
 	seeds = slices.CompactFunc(seeds, func(a, b Seed) bool { return a.ID == b.ID })
 	list := make([]ids.Instance, len(seeds))
@@ -142,19 +150,19 @@
 		list[i] = s.ID
 	}
 	var chosen []ids.Instance
-	for _, id := range ranked(list, crossKey, len(list)) {
-		if len(chosen) == crossInstances {
+	for _, id := range rankByRendezvous(list, crossRankKey, len(list)) {
+		if len(chosen) == crossLinkInstances {
 			break
 		}
-		p := v.crossPeer(id, dc)
+		p := v.addCrossPeer(id, dc)
 		if p == nil || v.now < p.avoidUntil {
 			continue
 		}
 		if p.startedAt == 0 {
 			p.startedAt = v.now
 		}
-		if v.now.Sub(max(p.startedAt, p.heardAt)) > crossSilent {
-			p.startedAt, p.avoidUntil = 0, v.now.Add(crossAvoid)
+		if v.now.Sub(max(p.startedAt, p.lastHeartbeatAt)) > crossTimeout {
+			p.startedAt, p.avoidUntil = 0, v.now.Add(crossRetryDelay)
 			continue
 		}
 		chosen = append(chosen, id)
@@ -162,8 +170,9 @@
 	return chosen
 }
 
-// ranked returns the first n of the sorted list by rendezvous weight for key.
-func ranked(sorted []ids.Instance, key string, n int) []ids.Instance {
+// rankByRendezvous returns the n instances of the sorted list with the highest
+// rendezvous weights for key.
+func rankByRendezvous(sorted []ids.Instance, key string, n int) []ids.Instance {
 	type node struct {
 		id     ids.Instance
 		weight uint64
--- a/internal/member/gossip.go
+++ b/internal/member/gossip.go
@@ -10,137 +10,141 @@
 )
 
 const (
-	// maxUpdates bounds the records in a heartbeat, partRecords those in a
-	// delta of changes.
-	maxUpdates  = 4
-	partRecords = 20
-	// deltaGap is the least time between two deltas of changes on a link.
-	deltaGap = 500 * time.Millisecond
-	// partBytes bounds one part of a view, so that a part fits in a packet.
-	partBytes = 1200
-	// partGap is the time between two parts to the same peer.
-	partGap = 100 * time.Millisecond
-	// repairRecords is the number of latest changes exchanged in the first
-	// repair of a digest mismatch.
+	// maxHeartbeatRecords bounds the records in a heartbeat, maxDeltaRecords those
+	// in a delta of changes.
+	maxHeartbeatRecords = 4
+	maxDeltaRecords     = 20
+	// minDeltaInterval is the minimum time between two deltas of changes on a link.
+	minDeltaInterval = 500 * time.Millisecond
+	// maxPartBytes bounds one part of a view, so that a part fits in a packet.
+	maxPartBytes = 1200
+	// partInterval is the time between two parts sent to the same peer.
+	partInterval = 100 * time.Millisecond
+	// repairRecords is the number of most recently changed records exchanged in
+	// the first repair of a digest mismatch.
 	repairRecords = 12
-	// repairDelay is the time for which digests may differ while a change
-	// spreads.
+	// repairDelay is the time for which digests may differ while a change spreads,
+	// before a repair starts.
 	repairDelay = 1500 * time.Millisecond
-	// fullGap is the time between two requests for a complete view. It
-	// doubles up to maxFullGap while the digests differ, so that a cold start
-	// of many instances does not spend the budget on repeated views.
-	fullGap    = 4 * time.Second
-	maxFullGap = 16 * time.Second
-	// knownFor is the time for which a record sent to a peer is not repeated
-	// when the peer asks for a complete view.
-	knownFor = 64 * time.Second
-	// answerGap is the time after which an unanswered request is repeated to
-	// another peer. It doubles up to maxAnswerGap: answers may wait for the
-	// byte budget of the peer's link.
-	answerGap    = time.Second
-	maxAnswerGap = 16 * time.Second
-	// updateGap is the least time between two heartbeats on a link that are
-	// sent early to carry changes; urgentGap applies to changes made here.
-	updateGap = 100 * time.Millisecond
-	urgentGap = 20 * time.Millisecond
-	// A change learned from others is forwarded at once to quickLinks of the
-	// neighbours above fullMesh, and to the rest after forwardDelay, when most
-	// have it from elsewhere and their digest agrees.
-	forwardDelay = 600 * time.Millisecond
-	slowForward  = time.Second
-	quickLinks   = 3
-	// maxRecent bounds the log of changes; a peer that is further behind is
-	// repaired after a digest mismatch.
-	maxRecent = 256
-	// maxSessions bounds the complete views being sent at a time.
-	maxSessions = 4
-	// maxExtra bounds the records kept for one peer besides the log.
-	maxExtra = 8
+	// minFullRequestInterval is the time between two requests for a complete view.
+	// It doubles up to maxFullRequestInterval while the digests differ, so that a
+	// cold start of many instances does not use up the budget for repeated views.
+	minFullRequestInterval = 4 * time.Second
+	maxFullRequestInterval = 16 * time.Second
+	// resendDelay is the time for which a record sent to a peer is not sent again
+	// when the peer requests a complete view.
+	resendDelay = 64 * time.Second
+	// minResponseTimeout is the time after which a request without a response may
+	// be repeated, also to another peer. It doubles up to maxResponseTimeout, since
+	// responses may be waiting for the byte budget of the peer's link.
+	minResponseTimeout = time.Second
+	maxResponseTimeout = 16 * time.Second
+	// minUpdateInterval is the minimum time between two heartbeats on a link that
+	// are sent early to carry changes; minUrgentInterval applies to local changes.
+	minUpdateInterval = 100 * time.Millisecond
+	minUrgentInterval = 20 * time.Millisecond
+	// A received change is forwarded after meshForwardDelay in a full mesh. With
+	// more than maxFullMesh instances it is forwarded at once on immediateLinks of
+	// the links and on the others after ringForwardDelay, when most peers have
+	// received it from another instance and their digests agree.
+	meshForwardDelay = 600 * time.Millisecond
+	ringForwardDelay = time.Second
+	immediateLinks   = 3
+	// maxRecentChanges bounds the log of changes; a peer that has missed older
+	// changes is repaired after a digest mismatch.
+	maxRecentChanges = 256
+	// maxTransfers bounds the number of complete views being sent at a time.
+	maxTransfers = 4
+	// maxQueuedRecords bounds the records queued for one peer besides the log.
+	maxQueuedRecords = 8
 
-	// smallBytes is the burst of changes in heartbeats. It stays below the
-	// burst that a link allows to heartbeats, 2 s at 2 KB/s.
-	smallBytes = 2 << 10
+	// maxUpdateBudget is the burst size of changes in heartbeats. It is below the
+	// burst of heartbeats that a link allows, 2 s at 2 KB/s.
+	maxUpdateBudget = 2 << 10
 
-	// outBytes is the share of the limit of 2 KB/s of control traffic that is
-	// sent; burstBytes allows a complete view of 500 members to a joining
-	// instance at once. heartbeatBytes and recordBytes are sizes in CBOR.
-	outBytes     = 1000
-	minExtraRate = 100
-	// sessionReserve is left to changes by complete views, which would
-	// otherwise hold up the changes that make the views agree.
-	sessionReserve = 4 << 10
-	burstBytes     = 256 << 10
+	// sendRate is the share of sent traffic, in bytes a second, of the limit of
+	// 2 KB/s for control traffic in both directions. maxDeltaBudget allows a
+	// complete view of 500 members to be sent to a joining instance at once.
+	// heartbeatBytes and recordBytes are sizes in CBOR.
+	sendRate      = 1000
+	minBudgetRate = 100
+	// repairReserve is the part of deltaBudget that complete views leave unused,
+	// since they would otherwise delay the changes that make the views agree.
+	repairReserve  = 4 << 10
+	maxDeltaBudget = 256 << 10
 	heartbeatBytes = 50
-	// frameBytes is what TLS and WebSocket add to a message (internal/link).
-	frameBytes  = 30
-	recordBytes = 24 // without the strings
+	// frameOverheadBytes is the overhead of TLS and WebSocket for each message
+	// (internal/link).
+	frameOverheadBytes = 30
+	recordBytes        = 24 // without the lengths of the strings
 )
 
-// gossip is the part of a View that deals with its links.
+// gossip is the part of a View that exchanges records with other instances.
 type gossip struct {
-	links             [maxLinks]link
-	linksStale        bool
-	alive             int // other members that are not gone
-	interval          intervals
-	changes           uint64 // sequence number of the last change
-	recent            []change
-	lastChange        ids.Time
-	urgent            bool // a change made here has not been sent
-	urgentRevision    bool
-	budget            int // bytes that may be sent besides regular heartbeats
-	small             int // the same for heartbeats with changes
-	budgetAt          ids.Time
-	askAt             ids.Time // next request for a complete view
-	askGap            time.Duration
-	answerGap         time.Duration
-	partAt            ids.Time // last part of a view received before synced
-	awaiting          bool     // the last request has not been answered
-	sessions          []session
-	inbound           []inboundPeer
-	suspicionBackoffs map[ids.Instance]suspicionBackoff
-	clocks            map[ids.Instance]*clock
-	probeAt           ids.Time
-	expireAt          ids.Time
-	forgetAt          ids.Time
+	links               [maxLinks]link
+	linksStale          bool
+	aliveOthers         int // number of other members that are not gone
+	intervals           heartbeatIntervals
+	lastChangeSeq       uint64 // sequence number of the last change
+	recentChanges       []change
+	lastChangeAt        ids.Time
+	urgentChange        bool // a local change has not been sent
+	urgentRevision      bool
+	deltaBudget         int // bytes that may be sent in deltas
+	updateBudget        int // bytes that may be sent in early heartbeats and in the records of heartbeats
+	budgetsRefilledAt   ids.Time
+	nextFullRequestAt   ids.Time // earliest time of the next request for a complete view
+	fullRequestInterval time.Duration
+	responseTimeout     time.Duration
+	partReceivedAt      ids.Time // time of the last part of a view received before synced was set
+	requestPending      bool     // the last request for a complete view has had no response
+	transfers           []viewTransfer
+	inboundPeers        []inboundPeer
+	suspicionBackoffs   map[ids.Instance]suspicionBackoff
+	clockOffsets        map[ids.Instance]*clockOffset
+	nextProbeAt         ids.Time
+	nextExpiryAt        ids.Time
+	nextCleanupAt       ids.Time
 }
 
+// change is an entry of the log of recent changes.
 type change struct {
 	seq uint64
 	id  ids.Instance
 }
 
-// session sends the complete view to one peer in parts.
-type session struct {
-	to    ids.Instance
-	after ids.Instance // last member sent
-	next  ids.Time
+// viewTransfer sends the complete view to one peer in parts.
+type viewTransfer struct {
+	to         ids.Instance
+	lastSent   ids.Instance // id of the last member sent
+	nextPartAt ids.Time
 }
 
-func sizeOf(m *peerwire.Member) int {
+func recordSize(m *peerwire.Member) int {
 	return recordBytes + len(m.ID) + len(m.DataCentre) + len(m.PeerAddr)
 }
 
-// log records a change for the heartbeats to come.
-func (v *View) log(r *record) {
-	v.changes++
-	r.change, r.knownBy, r.quiet, r.at = v.changes, 0, false, v.now
-	if len(v.recent) >= maxRecent {
-		v.recent = slices.Delete(v.recent, 0, maxRecent/2)
-	}
-	v.recent = append(v.recent, change{v.changes, r.ID})
+// logChange adds a change to the log from which later messages are filled.
+func (v *View) logChange(r *record) {
+	v.lastChangeSeq++
+	r.changeSeq, r.knownToLinks, r.fullViewOnly, r.changedAt = v.lastChangeSeq, 0, false, v.now
+	if len(v.recentChanges) >= maxRecentChanges {
+		v.recentChanges = slices.Delete(v.recentChanges, 0, maxRecentChanges/2)
+	}
+	v.recentChanges = append(v.recentChanges, change{v.lastChangeSeq, r.ID})
 }
 
-// attach adds a record to the next heartbeat to id.
-func (v *View) attach(id ids.Instance, m peerwire.Member) {
-	i := v.slot(id)
+// queueRecord adds a record to the next message on the link to id, if there is one.
+func (v *View) queueRecord(id ids.Instance, m peerwire.Member) {
+	i := v.linkIndex(id)
 	if i < 0 {
 		return
 	}
 	l := &v.links[i]
-	// A later record of the same instance replaces an earlier one.
-	l.extra = slices.DeleteFunc(l.extra, func(o peerwire.Member) bool { return o.ID == m.ID })
-	if len(l.extra) < maxExtra {
-		l.extra = append(l.extra, m)
+	// A later record replaces a queued one of the same instance.
+	l.queued = slices.DeleteFunc(l.queued, func(o peerwire.Member) bool { return o.ID == m.ID })
+	if len(l.queued) < maxQueuedRecords {
+		l.queued = append(l.queued, m)
 	}
 }
 
@@ -150,81 +154,83 @@
 	if from == v.id || from == "" {
 		return
 	}
-	i := v.slot(from)
+	i := v.linkIndex(from)
 	for k := range h.Updates {
 		v.merge(&h.Updates[k], i)
 	}
 	v.observeClock(from, h.Clock)
-	if v.crossHeard(from, h) {
+	if v.handleCrossHeartbeat(from, h) {
 		return
 	}
-	v.heardPeer = true
+	v.peerHeartbeatReceived = true
 	if r := v.members[from]; r != nil && r.Suspected {
-		// It is alive: it learns of the suspicion and refutes it.
-		v.attach(from, r.Member)
+		// The instance is alive. It receives the suspicion and refutes it.
+		v.queueRecord(from, r.Member)
 	}
 	if i < 0 {
-		if h.Seq != answerSeq {
-			v.heardInbound(from)
+		if h.Seq != replySeq {
+			v.recordInbound(from)
 		}
 		if !v.synced && h.Digest != v.digest32() {
-			v.askFull(from)
+			v.requestFullView(from)
 		}
 		return
 	}
 	l := &v.links[i]
-	l.heardAt, l.heard = now, true
+	l.lastHeartbeatAt, l.heartbeatReceived = now, true
 	delete(v.suspicionBackoffs, from)
-	v.compare(l, h.Digest)
+	v.compareDigest(l, h.Digest)
 }
 
-// digest32 is the digest sent in heartbeats; 32 bits keep them short.
+// digest32 returns the digest sent in heartbeats, folded to 32 bits to keep them
+// short.
 func (v *View) digest32() uint64 { return v.digest>>32 ^ v.digest&0xffffffff }
 
-// compare notes whether the peer's view agrees with the own one.
-func (v *View) compare(l *link, digest uint64) {
+// compareDigest compares the digest of the peer of l with the local one. A mismatch
+// starts the delay before a repair.
+func (v *View) compareDigest(l *link, digest uint64) {
 	if digest == v.digest32() {
 		l.mismatchSince, l.repairs, v.synced = 0, 0, true
-		l.sentChange = v.changes // the peer has them all
-		v.askGap = 0
+		l.sentChangeSeq = v.lastChangeSeq // the peer has all changes
+		v.fullRequestInterval = 0
 		return
 	}
 	if !v.synced {
-		v.askFull(l.id)
+		v.requestFullView(l.id)
 	}
 	if l.mismatchSince == 0 {
 		l.mismatchSince = v.now
-		l.repairAt = v.now.Add(repairDelay)
+		l.nextRepairAt = v.now.Add(repairDelay)
 	}
 }
 
-// repair exchanges records with a peer whose view has differed for longer
-// than a change takes to spread: the latest changes first, then everything.
-func (v *View) repair(l *link, send sender) {
-	if l.mismatchSince == 0 || v.now < l.repairAt || v.budget <= 0 {
+// repairMismatch exchanges records with a peer whose view has differed for longer
+// than a change takes to spread: first the latest changes, then complete views.
+func (v *View) repairMismatch(l *link, send sendFunc) {
+	if l.mismatchSince == 0 || v.now < l.nextRepairAt || v.deltaBudget <= 0 {
 		return
 	}
-	if v.now.Sub(v.lastChange) < repairDelay && v.now.Sub(l.mismatchSince) < 4*repairDelay {
+	if v.now.Sub(v.lastChangeAt) < repairDelay && v.now.Sub(l.mismatchSince) < 4*repairDelay {
 		return
 	}
-	l.repairAt = v.now.Add(2 * repairDelay)
+	l.nextRepairAt = v.now.Add(2 * repairDelay)
 	l.repairs++
 	if l.repairs > 1 {
-		v.askFull(l.id)
+		v.requestFullView(l.id)
 		return
 	}
 	if v.id < l.id {
-		v.sendDelta(l.id, v.latest(), true, send)
+		v.sendDelta(l.id, v.latestChanges(), true, send)
 	}
 }
 
-// latest returns the members that changed last.
-func (v *View) latest() []peerwire.Member {
+// latestChanges returns the most recently changed records.
+func (v *View) latestChanges() []peerwire.Member {
 	var list []*record
 	for _, r := range v.members {
 		list = append(list, r)
 	}
-	slices.SortFunc(list, func(a, b *record) int { return cmp.Compare(b.change, a.change) })
+	slices.SortFunc(list, func(a, b *record) int { return cmp.Compare(b.changeSeq, a.changeSeq) })
 	var out []peerwire.Member
 	for _, r := range list[:min(len(list), repairRecords)] {
 		out = append(out, r.Member)
@@ -232,61 +238,62 @@
 	return out
 }
 
-// askFull requests the complete view of id; the request is sent by the next
-// Tick. One request at a time bounds the control traffic.
-func (v *View) askFull(id ids.Instance) {
-	if v.now < v.askAt {
+// requestFullView requests the complete view of id; the next Tick sends the
+// request. To bound the control traffic only one request is open at a time.
+func (v *View) requestFullView(id ids.Instance) {
+	if v.now < v.nextFullRequestAt {
 		return
 	}
-	if v.awaiting {
-		v.answerGap = min(2*v.answerGap, maxAnswerGap)
+	if v.requestPending {
+		v.responseTimeout = min(2*v.responseTimeout, maxResponseTimeout)
 	} else {
-		v.askGap = min(max(2*v.askGap, fullGap), maxFullGap)
-		v.answerGap = answerGap
+		v.fullRequestInterval = min(max(2*v.fullRequestInterval, minFullRequestInterval), maxFullRequestInterval)
+		v.responseTimeout = minResponseTimeout
 	}
-	v.awaiting = true
-	v.askAt = v.now.Add(v.answerGap)
-	v.asking = id
+	v.requestPending = true
+	v.nextFullRequestAt = v.now.Add(v.responseTimeout)
+	v.fullRequestTo = id
 }
 
-// HandleDelta handles a part of the view of another instance. A request with
-// at most the sender's own record asks for the complete view, one with more
-// for the latest changes.
+// HandleDelta handles records of another instance, which may be a request (Reply
+// is set). A request with at most the record of the sender asks for the complete
+// view, one with more records for the latest changes.
 func (v *View) HandleDelta(now ids.Time, from ids.Instance, d *peerwire.MemberDelta) {
 	v.advance(now)
 	if from == v.id || from == "" {
 		return
 	}
-	i := v.slot(from)
+	i := v.linkIndex(from)
 	running := !v.synced && mostlyServing(d.Members)
 	for k := range d.Members {
 		v.merge(&d.Members[k], i)
 		if r := v.members[d.Members[k].ID]; running && r != nil && r != v.self {
-			r.quiet = true
+			r.fullViewOnly = true
 		}
 	}
 	if !d.Reply {
-		v.awaiting = false
+		v.requestPending = false
 		if !v.synced {
-			v.partAt = now
+			v.partReceivedAt = now
 		}
-		v.askAt = max(v.askAt, now.Add(v.askGap))
+		v.nextFullRequestAt = max(v.nextFullRequestAt, now.Add(v.fullRequestInterval))
 		return
 	}
 	if len(d.Members) > 1 {
-		v.answerLatest = from
+		v.latestChangesTo = from
 		return
 	}
-	known := slices.ContainsFunc(v.sessions, func(s session) bool { return s.to == from })
-	if !known && len(v.sessions) < maxSessions {
-		v.forgetLost(i)
-		v.sessions = append(v.sessions, session{to: from, next: now})
+	known := slices.ContainsFunc(v.transfers, func(s viewTransfer) bool { return s.to == from })
+	if !known && len(v.transfers) < maxTransfers {
+		v.expireKnown(i)
+		v.transfers = append(v.transfers, viewTransfer{to: from, nextPartAt: now})
 	}
 }
 
-// mostlyServing tells a part of the view of a running fleet from one of a cold
-// start. What an instance learns when it joins a running fleet is known to the
-// others already; forwarding it would hold up its links for minutes.
+// mostlyServing reports whether members are part of the view of a running data
+// centre, as opposed to a cold start. The records that an instance receives when
+// it joins a running data centre are known to the other instances; forwarding
+// them would occupy its links for minutes.
 func mostlyServing(members []peerwire.Member) bool {
 	n := 0
 	for i := range members {
@@ -297,15 +304,16 @@
 	return len(members) > maxLinks && n >= len(members)*3/4
 }
 
-// part sends the next part of a session and reports whether more remain.
-func (v *View) part(s *session, send sender) bool {
-	if v.now < s.next || v.budget < sessionReserve {
+// sendPart sends the next part of a transfer when it is due and reports whether
+// the transfer is incomplete.
+func (v *View) sendPart(s *viewTransfer, send sendFunc) bool {
+	if v.now < s.nextPartAt || v.deltaBudget < repairReserve {
 		return true
 	}
 	var list []ids.Instance
-	slot := v.slot(s.to)
+	slot := v.linkIndex(s.to)
 	for id, r := range v.members {
-		if id > s.after && (slot < 0 || r.knownBy&(1<<slot) == 0) {
+		if id > s.lastSent && (slot < 0 || r.knownToLinks&(1<<slot) == 0) {
 			list = append(list, id)
 		}
 	}
@@ -314,50 +322,52 @@
 	size := 0
 	for _, id := range list {
 		m := v.members[id].Member
-		if size += sizeOf(&m); size > partBytes && len(out) > 0 {
+		if size += recordSize(&m); size > maxPartBytes && len(out) > 0 {
 			break
 		}
 		out = append(out, m)
-		s.after = id
+		s.lastSent = id
 		v.markKnown(slot, v.members[id])
 	}
-	s.next = v.now.Add(partGap)
+	s.nextPartAt = v.now.Add(partInterval)
 	v.sendDelta(s.to, out, false, send)
 	return len(out) < len(list)
 }
 
-func (v *View) sendDelta(to ids.Instance, members []peerwire.Member, reply bool, send sender) {
-	v.budget -= heartbeatBytes
+func (v *View) sendDelta(to ids.Instance, members []peerwire.Member, reply bool, send sendFunc) {
+	v.deltaBudget -= heartbeatBytes
 	for i := range members {
-		v.budget -= sizeOf(&members[i])
+		v.deltaBudget -= recordSize(&members[i])
 	}
 	send(to, &peerwire.Message{From: v.id, Incarnation: v.self.Incarnation,
 		MemberDelta: &peerwire.MemberDelta{Members: members, Reply: reply}})
 }
 
-// markKnown notes that the peer of a link has, or is being sent, a record.
+// markKnown records that the peer of a link has, or is being sent, r. A negative
+// index stands for no link.
 func (v *View) markKnown(slot int, r *record) {
 	if slot >= 0 {
-		r.knownBy |= 1 << slot
+		r.knownToLinks |= 1 << slot
 	}
 }
 
-// forgetLost lets records be sent again to a peer that asks for everything
-// although it should have them: messages were lost.
-func (v *View) forgetLost(slot int) {
-	if slot < 0 || v.now.Sub(v.links[slot].knownFrom) < knownFor {
+// expireKnown lets records be sent again, after resendDelay, to a peer that
+// requests a complete view although it was sent them, since messages may have
+// been lost.
+func (v *View) expireKnown(slot int) {
+	if slot < 0 || v.now.Sub(v.links[slot].knownSince) < resendDelay {
 		return
 	}
-	v.links[slot].knownFrom = v.now
-	v.forgetKnown(slot)
+	v.links[slot].knownSince = v.now
+	v.clearKnown(slot)
 }
 
-// forgetKnown makes every record count as unknown to the peer of a link.
-func (v *View) forgetKnown(slot int) {
+// clearKnown marks every record as unknown to the peer of a link.
+func (v *View) clearKnown(slot int) {
 	if slot < 0 {
 		return
 	}
 	for _, r := range v.members {
-		r.knownBy &^= 1 << slot
+		r.knownToLinks &^= 1 << slot
 	}
 }
--- a/internal/member/merge.go
+++ b/internal/member/merge.go
@@ -9,8 +9,8 @@
 	"arbutusdock.example/arbutusdock/internal/peerwire"
 )
 
-// newer reports whether a carries a later state of its instance than b, by
-// incarnation and counter alone.
+// newer reports whether a has a higher incarnation than b, or the same
+// incarnation and a higher counter.
 func newer(a, b *peerwire.Member) bool {
 	if a.Incarnation != b.Incarnation {
 		return a.Incarnation > b.Incarnation
@@ -35,8 +35,8 @@
 	return a
 }
 
-// recordHash covers what peers must agree on. Gone members do not count,
-// since each instance forgets them at its own time.
+// recordHash hashes the fields of a record on which peers must agree. It is 0 for
+// gone members, since each instance removes them at a different time.
 func recordHash(m *peerwire.Member) uint64 {
 	if m.Lifecycle == peerwire.Gone {
 		return 0
@@ -51,25 +51,25 @@
 // serves reports whether slots may be assigned to the member.
 func serves(m *peerwire.Member) bool { return m.Lifecycle == peerwire.Serving && !m.Suspected }
 
-// put adds the record of an instance that was not known.
-func (v *View) put(m peerwire.Member) *record {
+// addRecord adds the record of an instance that was not known.
+func (v *View) addRecord(m peerwire.Member) *record {
 	r := &record{}
 	v.members[m.ID] = r
-	v.replace(r, m)
+	v.updateRecord(r, m)
 	return r
 }
 
-// replace sets a record and keeps everything derived from it.
-func (v *View) replace(r *record, m peerwire.Member) {
+// updateRecord sets the content of a record and updates all state derived from it.
+func (v *View) updateRecord(r *record, m peerwire.Member) {
 	old := r.Member
 	if old.Incarnation != m.Incarnation {
-		delete(v.byRun, old.Incarnation)
+		delete(v.byIncarnation, old.Incarnation)
 		if old.ID != "" {
-			delete(v.clocks, m.ID)
-			v.forgetKnown(v.slot(m.ID))
+			delete(v.clockOffsets, m.ID)
+			v.clearKnown(v.linkIndex(m.ID))
 		}
 	}
-	v.byRun[m.Incarnation] = r
+	v.byIncarnation[m.Incarnation] = r
 	if m.Successor != 0 && m.Successor != m.Incarnation {
 		v.successors[m.Incarnation] = successor{m.Successor, v.now}
 	}
@@ -83,7 +83,7 @@
 		}
 	}
 	if watched && !wasWatched || m.Lifecycle == peerwire.Gone && old.Lifecycle != peerwire.Gone {
-		r.since = v.now
+		r.stateSince = v.now
 	}
 	if old.ID == "" || (old.Lifecycle == peerwire.Gone) != (m.Lifecycle == peerwire.Gone) {
 		v.linksStale = true
@@ -94,12 +94,12 @@
 	if serves(&old) != serves(&m) {
 		v.servingStale = true
 	}
-	v.lastChange = v.now
-	v.log(r)
+	v.lastChangeAt = v.now
+	v.logChange(r)
 }
 
-// merge handles a record received on link slot from, or -1 when the sender is
-// no neighbour.
+// merge handles a received record. from is the index of the link to the sender,
+// or -1 when the sender is not a neighbour.
 func (v *View) merge(m *peerwire.Member, from int) {
 	if m.DataCentre != v.self.DataCentre || m.ID == "" || m.Lifecycle > peerwire.Gone {
 		return
@@ -110,7 +110,7 @@
 	}
 	r := v.members[m.ID]
 	if r == nil {
-		r = v.put(*m)
+		r = v.addRecord(*m)
 	} else {
 		v.mergeOther(r, m)
 	}
@@ -119,9 +119,9 @@
 	}
 }
 
-// mergeSelf refutes every claim about this instance that it did not make
-// itself. Only this instance raises its counter, so a higher one stems from an
-// earlier process that had the same incarnation.
+// mergeSelf handles a received record of this instance and refutes a state that
+// the instance did not announce itself. Only this instance raises its counter, so
+// a higher one was announced by an earlier process with the same incarnation.
 func (v *View) mergeSelf(m *peerwire.Member) {
 	s := v.self
 	switch {
@@ -136,19 +136,19 @@
 }
 
 // mergeOther merges a record of a known instance. Two rules add to Merge:
-//   - A declaration of another instance that a member is gone counts as a
-//     suspicion that starts here, so that the member has the full time to
-//     refute it when a cut heals.
-//   - A suspicion of a neighbour that was heard just now is not adopted but
-//     passed on to it; its refutation then reaches everyone.
+//   - When another instance has declared a suspected member gone, the member
+//     becomes only suspected here, so that it has the full suspicionTimeout to
+//     refute this after a partition has healed.
+//   - A suspicion of a neighbour that recently sent a heartbeat is not adopted
+//     but sent to the neighbour, whose refutation then spreads to all instances.
 func (v *View) mergeOther(r *record, m *peerwire.Member) {
 	in := *m
 	if in.Suspected && !r.gone() && in.Incarnation == r.Incarnation {
 		if in.Lifecycle == peerwire.Gone {
 			in.Lifecycle = r.Lifecycle
 		}
-		if !newer(&in, &r.Member) && !newer(&r.Member, &in) && !r.Suspected && v.heardJustNow(r.ID) {
-			v.attach(r.ID, in)
+		if !newer(&in, &r.Member) && !newer(&r.Member, &in) && !r.Suspected && v.recentlyHeard(r.ID) {
+			v.queueRecord(r.ID, in)
 			return
 		}
 	}
@@ -160,12 +160,12 @@
 		return
 	}
 	if r.Suspected && !out.Suspected && out.Incarnation == r.Incarnation {
-		v.refuted(r.ID)
+		v.backOffSuspicion(r.ID)
 	}
-	v.replace(r, out)
+	v.updateRecord(r, out)
 }
 
-// suspect marks a silent neighbour.
+// suspect marks a neighbour without heartbeats as suspected and gossips this.
 func (v *View) suspect(r *record) {
 	_, actions, ok := chart.Suspicion.Next(suspicionState(r), chart.SuspicionSilent)
 	if !ok || r.Suspected || r.gone() {
@@ -173,18 +173,19 @@
 	}
 	m := r.Member
 	m.Suspected = true
-	v.replace(r, m)
+	v.updateRecord(r, m)
 	if len(actions) > 0 {
 		v.broadcast(r)
 	}
 }
 
-// broadcast sends a change made here to all neighbours with the next Tick.
+// broadcast queues a locally made change for all neighbours; the next Tick sends
+// it.
 func (v *View) broadcast(r *record) {
-	v.urgent = true
+	v.urgentChange = true
 	for i := range v.links {
 		if v.links[i].id != "" {
-			v.attach(v.links[i].id, r.Member)
+			v.queueRecord(v.links[i].id, r.Member)
 			v.markKnown(i, r)
 		}
 	}
@@ -197,37 +198,37 @@
 	return chart.Trusted
 }
 
-// expire declares members gone that were suspected for too long and forgets
-// members that have been gone for long.
+// expire declares members gone whose suspicion has timed out, and removes gone
+// members and successors after goneRetention.
 func (v *View) expire() {
 	for _, id := range slices.Sorted(maps.Keys(v.members)) {
 		r := v.members[id]
 		if r == v.self {
 			continue
 		}
-		switch age := v.now.Sub(r.since); {
-		case r.gone() && age >= forgetAfter:
-			v.forget(id, r)
-		case !r.gone() && r.Suspected && age >= goneAfter:
+		switch age := v.now.Sub(r.stateSince); {
+		case r.gone() && age >= goneRetention:
+			v.forgetMember(id, r)
+		case !r.gone() && r.Suspected && age >= suspicionTimeout:
 			m := r.Member
 			m.Lifecycle = peerwire.Gone
-			v.replace(r, m)
-			// Every instance that knows of the suspicion does the same by its
-			// own clock, so this is not gossiped.
-			r.quiet = true
+			v.updateRecord(r, m)
+			// Every instance that has the suspicion declares the member gone by
+			// its own clock, so this change is not gossiped.
+			r.fullViewOnly = true
 		}
 	}
 	for i, s := range v.successors {
-		if v.now.Sub(s.since) >= forgetAfter {
+		if v.now.Sub(s.recordedAt) >= goneRetention {
 			delete(v.successors, i)
 		}
 	}
 }
 
-func (v *View) forget(id ids.Instance, r *record) {
+func (v *View) forgetMember(id ids.Instance, r *record) {
 	delete(v.members, id)
-	delete(v.clocks, id)
-	if v.byRun[r.Incarnation] == r {
-		delete(v.byRun, r.Incarnation)
+	delete(v.clockOffsets, id)
+	if v.byIncarnation[r.Incarnation] == r {
+		delete(v.byIncarnation, r.Incarnation)
 	}
 }
--- a/internal/member/neighbours.go
+++ b/internal/member/neighbours.go
@@ -10,89 +10,94 @@
 )
 
 const (
-	// fullMesh is the number of instances up to which each one keeps a link
-	// to every other.
-	fullMesh = 9
-	// maxLinks is the number of neighbours above that: two on each ring.
+	// maxFullMesh is the number of instances up to which each one keeps a link to
+	// every other.
+	maxFullMesh = 9
+	// maxLinks is the maximum number of neighbours with more instances: two on each
+	// ring.
 	maxLinks = 8
 	rings    = maxLinks / 2
-	// ringKey separates the ring hashes from other uses of the id hash.
-	ringKey = 0x6172627574757331
+	// ringHashSeed separates the ring hashes from other uses of the id hash.
+	ringHashSeed = 0x6172627574757331
 
 	// Heartbeat intervals. With a full mesh the interval grows with the links
 	// so that heartbeats, with their framing, take half of the limit of 2 KB/s
 	// of control traffic, both directions together.
-	intervalSmall   = 300 * time.Millisecond
-	intervalPerLink = 75 * time.Millisecond
-	intervalLarge   = time.Second
-	// intervalHold delays the slower of two intervals at the sender and the
-	// faster one at the receiver, since the peers change over at different
-	// times.
-	intervalHold = 3 * time.Second
-	// maxMissed heartbeats in a row make a neighbour suspected; missedSlack
-	// allows for the tick and the network.
-	maxMissed   = 3
-	missedSlack = 50 * time.Millisecond
-	// linkGrace is the additional time for a new link to be opened.
+	minHeartbeatInterval  = 300 * time.Millisecond
+	intervalPerLink       = 75 * time.Millisecond
+	ringHeartbeatInterval = time.Second
+	// intervalChangeDelay is the time after a change of the interval for which an
+	// instance sends at the shorter and expects the longer of the two intervals,
+	// since its peers change theirs at different times.
+	intervalChangeDelay = 3 * time.Second
+	// A neighbour is suspected after maxMissedHeartbeats heartbeats in a row are
+	// missing; heartbeatSlack allows for the tick interval and network delay.
+	maxMissedHeartbeats = 3
+	heartbeatSlack      = 50 * time.Millisecond
+	// linkGrace is the additional time allowed for opening a new link.
 	linkGrace = 2 * time.Second
 )
 
-// link is the control link to a neighbour. A free slot has an empty id.
+// link is the control link to a neighbour. An unused link has an empty id.
 type link struct {
-	id            ids.Instance
-	heardAt       ids.Time // last heartbeat, or the start of the wait for one
-	graceUntil    ids.Time // the peer is not suspected before
-	heard         bool
-	sentAt        ids.Time
-	sent          uint64   // heartbeats sent
-	deltaAt       ids.Time // last delta of changes
-	sentChange    uint64   // changes up to this sequence number have been sent
-	mismatchSince ids.Time // 0 while the digests agree
-	repairAt      ids.Time // next repair of a mismatch
-	repairs       int      // repairs since the digests agreed
-	knownFrom     ids.Time // records sent since then count as known to the peer
-	extra         []peerwire.Member
+	id                ids.Instance
+	lastHeartbeatAt   ids.Time // time of the last heartbeat, or the start of the wait for one
+	graceUntil        ids.Time // the peer is not suspected before this time
+	heartbeatReceived bool
+	heartbeatSentAt   ids.Time
+	heartbeatsSent    uint64   // number of heartbeats sent
+	deltaSentAt       ids.Time // time of the last delta of changes
+	sentChangeSeq     uint64   // changes up to this sequence number have been sent
+	mismatchSince     ids.Time // 0 while the digests agree
+	nextRepairAt      ids.Time // time of the next repair of the mismatch
+	repairs           int      // number of repairs since the digests last agreed
+	knownSince        ids.Time // records sent since this time are assumed to be known to the peer
+	queued            []peerwire.Member
 }
 
-func (l *link) restart(now ids.Time) {
-	l.heardAt, l.graceUntil, l.mismatchSince, l.repairs = now, now.Add(linkGrace), 0, 0
+// restartDeadlines restarts failure detection and digest comparison on the link.
+func (l *link) restartDeadlines(now ids.Time) {
+	l.lastHeartbeatAt, l.graceUntil, l.mismatchSince, l.repairs = now, now.Add(linkGrace), 0, 0
 }
 
-// intervals keeps the present heartbeat interval and the one before it.
-type intervals struct {
+// heartbeatIntervals holds the current heartbeat interval and the previous one.
+type heartbeatIntervals struct {
 	current, previous time.Duration
 	changedAt         ids.Time
 }
 
+// intervalFor returns the heartbeat interval for a number of instances.
 func intervalFor(instances int) time.Duration {
-	if instances <= fullMesh {
-		return max(intervalSmall, intervalPerLink*time.Duration(instances-1))
+	if instances <= maxFullMesh {
+		return max(minHeartbeatInterval, intervalPerLink*time.Duration(instances-1))
 	}
-	return intervalLarge
+	return ringHeartbeatInterval
 }
 
-func (i *intervals) set(now ids.Time, d time.Duration) {
+func (i *heartbeatIntervals) set(now ids.Time, d time.Duration) {
 	if d != i.current {
 		i.previous, i.current, i.changedAt = cmp.Or(i.current, d), d, now
 	}
 }
 
-func (i *intervals) sending(now ids.Time) time.Duration {
-	if now.Sub(i.changedAt) < intervalHold {
+// sending returns the interval at which heartbeats are sent.
+func (i *heartbeatIntervals) sending(now ids.Time) time.Duration {
+	if now.Sub(i.changedAt) < intervalChangeDelay {
 		return min(i.current, i.previous)
 	}
 	return i.current
 }
 
-func (i *intervals) expected(now ids.Time) time.Duration {
-	if now.Sub(i.changedAt) < intervalHold {
+// expected returns the interval at which heartbeats of the peers are expected.
+func (i *heartbeatIntervals) expected(now ids.Time) time.Duration {
+	if now.Sub(i.changedAt) < intervalChangeDelay {
 		return max(i.current, i.previous)
 	}
 	return i.current
 }
 
-// slot returns the index of the link to id, or -1.
-func (v *View) slot(id ids.Instance) int {
+// linkIndex returns the index of the link to id, or -1.
+func (v *View) linkIndex(id ids.Instance) int {
 	for i := range v.links {
 		if v.links[i].id == id && id != "" {
 			return i
@@ -101,16 +106,16 @@
 	return -1
 }
 
-// heardJustNow reports whether the own evidence that id is alive is stronger
-// than a suspicion by others.
-func (v *View) heardJustNow(id ids.Instance) bool {
-	i := v.slot(id)
-	return i >= 0 && v.links[i].heard && v.now.Sub(v.links[i].heardAt) <= 2*v.interval.expected(v.now)
+// recentlyHeard reports whether a recent heartbeat on the link to id shows that it
+// is alive, which outweighs a suspicion by other instances.
+func (v *View) recentlyHeard(id ids.Instance) bool {
+	i := v.linkIndex(id)
+	return i >= 0 && v.links[i].heartbeatReceived && v.now.Sub(v.links[i].lastHeartbeatAt) <= 2*v.intervals.expected(v.now)
 }
 
-// setLinks computes the neighbours from the members that are not gone. All
-// instances with the same view get a symmetric relation.
-func (v *View) setLinks() {
+// updateLinks computes the neighbours from the members that are not gone. Between
+// instances with the same view the relation is symmetric.
+func (v *View) updateLinks() {
 	v.linksStale = false
 	alive := make([]ids.Instance, 0, len(v.members))
 	for id, r := range v.members {
@@ -119,10 +124,10 @@
 		}
 	}
 	slices.Sort(alive)
-	v.alive = len(alive)
-	v.interval.set(v.now, intervalFor(len(alive)+1))
+	v.aliveOthers = len(alive)
+	v.intervals.set(v.now, intervalFor(len(alive)+1))
 	want := alive
-	if len(alive)+1 > fullMesh {
+	if len(alive)+1 > maxFullMesh {
 		want = ringNeighbours(v.id, alive)
 	}
 	for i := range v.links {
@@ -131,7 +136,7 @@
 		}
 	}
 	for _, id := range want {
-		if v.slot(id) < 0 {
+		if v.linkIndex(id) < 0 {
 			v.openLink(id)
 		}
 	}
@@ -143,12 +148,11 @@
 		if l.id != "" {
 			continue
 		}
-		*l = link{id: id, sentChange: v.changes, knownFrom: v.now}
-		l.restart(v.now)
-		v.forgetKnown(i)
-		// The peer learns the own record even if it has never heard of this
-		// instance.
-		l.extra = append(l.extra, v.self.Member)
+		*l = link{id: id, sentChangeSeq: v.lastChangeSeq, knownSince: v.now}
+		l.restartDeadlines(v.now)
+		v.clearKnown(i)
+		// The peer receives the record of this instance even if it has none.
+		l.queued = append(l.queued, v.self.Member)
 		return
 	}
 }
@@ -163,12 +167,12 @@
 		hashes[i] = ids.Hash(string(id))
 	}
 	for ring := range uint64(rings) {
-		at := ids.Mix(own, ringKey+ring)
+		at := ids.Mix(own, ringHashSeed+ring)
 		next, prev := 0, 0
 		var nextGap, prevGap uint64
 		for i, h := range hashes {
-			// Gaps wrap around the ring of 2^64 positions.
-			p := ids.Mix(h, ringKey+ring)
+			// Distances wrap around the ring of 2^64 positions.
+			p := ids.Mix(h, ringHashSeed+ring)
 			if g := p - at; i == 0 || g < nextGap {
 				next, nextGap = i, g
 			}
--- a/internal/member/sim_test.go
+++ b/internal/member/sim_test.go
@@ -11,35 +11,36 @@
 	"arbutusdock.example/arbutusdock/internal/peerwire"
 )
 
-// sim runs views over a network with one-way cuts and a fixed delay. Serving
-// is reached as the core does it: on Synced.
+// sim runs views over a simulated network with one-way cuts and a fixed delay. A
+// joining node becomes serving when its view is synced, as in package core.
 type sim struct {
-	now   ids.Time
-	step  time.Duration
-	delay time.Duration
-	nodes map[ids.Instance]*node
-	order []ids.Instance
-	seeds []Seed
-	cut   func(from, to ids.Instance) bool
-	queue []packet
-	tally bool
-	// linkRate, in bytes a second, applies the budget of internal/link:
-	// heartbeats above it are dropped, other messages wait. 0 for none.
+	now        ids.Time
+	step       time.Duration
+	delay      time.Duration
+	nodes      map[ids.Instance]*node
+	nodeIDs    []ids.Instance
+	seeds      []Seed
+	isCut      func(from, to ids.Instance) bool
+	inFlight   []packet
+	countBytes bool
+	// linkRate is the rate limit of internal/link in bytes a second: heartbeats
+	// that exceed it are dropped, other messages are queued. 0 means no limit.
 	linkRate float64
-	// lifecycles and violation record a return from draining.
+	// lifecycles holds the last lifecycle state of each incarnation; violation
+	// describes an incarnation that returned from draining.
 	lifecycles map[ids.Incarnation]peerwire.Lifecycle
 	violation  string
 }
 
 type node struct {
-	view          *View
-	id            ids.Instance
-	paused, dead  bool
-	bytes         int     // sent and received, CBOR
-	urgent, total float64 // budgets of the link layer
-	bulk          []func() int
-	dropped       int // heartbeats that exceeded the budget
-	moved         int // changes of Serving
+	view                         *View
+	id                           ids.Instance
+	paused, dead                 bool
+	bytes                        int     // bytes sent and received, encoded in CBOR
+	heartbeatBudget, totalBudget float64 // remaining budgets of the link layer, in bytes
+	queuedMessages               []func() int
+	dropped                      int // number of heartbeats that exceeded the budget
+	servingChanges               int // number of changes of Serving
 }
 
 type packet struct {
@@ -50,9 +51,9 @@
 
 const start ids.Time = 1_700_000_000_000_000_000
 
-func name(i int) ids.Instance { return ids.Instance(fmt.Sprintf("entry-%03d", i)) }
+func instanceID(i int) ids.Instance { return ids.Instance(fmt.Sprintf("entry-%03d", i)) }
 
-func self(id ids.Instance, run uint64, dc ids.DataCentre) peerwire.Member {
+func newMember(id ids.Instance, run uint64, dc ids.DataCentre) peerwire.Member {
 	return peerwire.Member{ID: id, Incarnation: ids.Incarnation(run<<32 | ids.Hash(string(id))&0xffffffff),
 		DataCentre: dc, PeerAddr: "10.20.30.40:7000"}
 }
@@ -61,10 +62,10 @@
 	s := &sim{now: start, step: 10 * time.Millisecond, delay: time.Millisecond, nodes: map[ids.Instance]*node{},
 		lifecycles: map[ids.Incarnation]peerwire.Lifecycle{}}
 	for i := range n {
-		s.seeds = append(s.seeds, Seed{ID: name(i), DataCentre: "anand", PeerAddr: "10.20.30.40:7000"})
+		s.seeds = append(s.seeds, Seed{ID: instanceID(i), DataCentre: "anand", PeerAddr: "10.20.30.40:7000"})
 	}
 	for i := range n {
-		s.start(name(i), 1)
+		s.start(instanceID(i), 1)
 	}
 	return s
 }
@@ -74,9 +75,9 @@
 }
 
 func (s *sim) startIn(id ids.Instance, run uint64, dc ids.DataCentre, seeds []Seed) *node {
-	n := &node{id: id, view: New(self(id, run, dc), seeds, 7)}
+	n := &node{id: id, view: New(newMember(id, run, dc), seeds, 7)}
 	if s.nodes[id] == nil {
-		s.order = append(s.order, id)
+		s.nodeIDs = append(s.nodeIDs, id)
 	}
 	s.nodes[id] = n
 	return n
@@ -85,7 +86,7 @@
 func (s *sim) send(from *node) func(ids.Instance, *peerwire.Message) {
 	return func(to ids.Instance, m *peerwire.Message) {
 		size := 0
-		if s.tally || s.linkRate > 0 {
+		if s.countBytes || s.linkRate > 0 {
 			b, err := peerwire.Encode(nil, m)
 			if err != nil {
 				panic(err)
@@ -94,12 +95,12 @@
 		}
 		deliver := func() int {
 			from.bytes += size
-			if s.cut != nil && s.cut(from.id, to) {
+			if s.isCut != nil && s.isCut(from.id, to) {
 				return size
 			}
 			if d := s.nodes[to]; d != nil && !d.dead {
 				d.bytes += size
-				s.queue = append(s.queue, packet{s.now.Add(s.delay), from.id, to, m})
+				s.inFlight = append(s.inFlight, packet{s.now.Add(s.delay), from.id, to, m})
 			}
 			return size
 		}
@@ -108,72 +109,74 @@
 		case s.linkRate == 0:
 			deliver()
 		case m.Heartbeat == nil:
-			from.bulk = append(from.bulk, deliver)
-		case from.urgent < cost:
+			from.queuedMessages = append(from.queuedMessages, deliver)
+		case from.heartbeatBudget < cost:
 			from.dropped++
 		default:
-			from.urgent -= cost
-			from.total -= cost
+			from.heartbeatBudget -= cost
+			from.totalBudget -= cost
 			deliver()
 		}
 	}
 }
 
-// pay refills the link budget of n and sends bulk messages that it covers.
-func (s *sim) pay(n *node) {
-	if n.urgent == 0 && n.total == 0 {
-		n.urgent, n.total = 2*s.linkRate, 2*s.linkRate
+// refillBudgets refills the link budgets of n and sends the queued messages that
+// they allow.
+func (s *sim) refillBudgets(n *node) {
+	if n.heartbeatBudget == 0 && n.totalBudget == 0 {
+		n.heartbeatBudget, n.totalBudget = 2*s.linkRate, 2*s.linkRate
 	}
 	gained := s.linkRate * s.step.Seconds()
-	n.urgent, n.total = min(n.urgent+gained, 2*s.linkRate), min(n.total+gained, 2*s.linkRate)
-	for n.total >= 0 && len(n.bulk) > 0 {
-		n.total -= float64(n.bulk[0]() + 30)
-		n.bulk = n.bulk[1:]
+	n.heartbeatBudget, n.totalBudget = min(n.heartbeatBudget+gained, 2*s.linkRate), min(n.totalBudget+gained, 2*s.linkRate)
+	for n.totalBudget >= 0 && len(n.queuedMessages) > 0 {
+		n.totalBudget -= float64(n.queuedMessages[0]() + 30)
+		n.queuedMessages = n.queuedMessages[1:]
 	}
 }
 
 func (s *sim) deliver() {
 	due := 0
-	for ; due < len(s.queue) && s.queue[due].at <= s.now; due++ {
-		p := s.queue[due]
+	for ; due < len(s.inFlight) && s.inFlight[due].at <= s.now; due++ {
+		p := s.inFlight[due]
 		d := s.nodes[p.to]
 		switch {
 		case d.dead:
 		case d.paused:
-			s.queue = append(s.queue, packet{s.now.Add(s.step), p.from, p.to, p.msg})
+			s.inFlight = append(s.inFlight, packet{s.now.Add(s.step), p.from, p.to, p.msg})
 		case p.msg.Heartbeat != nil:
 			d.view.HandleHeartbeat(s.now, p.from, p.msg.Heartbeat)
 		default:
 			d.view.HandleDelta(s.now, p.from, p.msg.MemberDelta)
 		}
 	}
-	s.queue = slices.Delete(s.queue, 0, due)
+	s.inFlight = slices.Delete(s.inFlight, 0, due)
 }
 
 func (s *sim) run(d time.Duration) {
 	for end := s.now.Add(d); s.now < end; {
 		s.now = s.now.Add(s.step)
 		s.deliver()
-		for _, id := range s.order {
+		for _, id := range s.nodeIDs {
 			n := s.nodes[id]
 			if n.paused || n.dead {
 				continue
 			}
-			s.pay(n)
+			s.refillBudgets(n)
 			n.view.Tick(s.now, s.send(n))
 			if n.view.Synced() && n.view.State() == peerwire.Joining {
 				n.view.Fire(Ready)
 			}
 			if n.view.Changed() {
-				n.moved++
+				n.servingChanges++
 			}
-			s.check(n)
+			s.checkLifecycle(n)
 		}
 	}
 }
 
-// check notes an incarnation that leaves draining for serving or joining.
-func (s *sim) check(n *node) {
+// checkLifecycle records as a violation when an incarnation leaves draining for
+// serving or joining.
+func (s *sim) checkLifecycle(n *node) {
 	m := n.view.Self()
 	if old := s.lifecycles[m.Incarnation]; old >= peerwire.Draining && m.Lifecycle < old {
 		s.violation = fmt.Sprintf("%s: %d after %d", m.ID, m.Lifecycle, old)
@@ -181,16 +184,17 @@
 	s.lifecycles[m.Incarnation] = m.Lifecycle
 }
 
-// agree asserts that every live node serves and lists exactly the live nodes.
-func (s *sim) agree(t assert.TestingT) {
+// assertAgreement asserts that the view of every live node lists exactly the live
+// serving nodes.
+func (s *sim) assertAgreement(t assert.TestingT) {
 	var live []ids.Instance
-	for _, id := range s.order {
+	for _, id := range s.nodeIDs {
 		if n := s.nodes[id]; !n.dead && n.view.State() == peerwire.Serving {
 			live = append(live, id)
 		}
 	}
 	slices.Sort(live)
-	for _, id := range s.order {
+	for _, id := range s.nodeIDs {
 		if n := s.nodes[id]; !n.dead {
 			assert.DeepEqual(t, n.view.Serving(), live)
 		}
@@ -198,24 +202,26 @@
 	assert.Equal(t, s.violation, "")
 }
 
-// warm gives every view all members as serving, as after a long run.
-func (s *sim) warm() {
-	for _, id := range s.order {
+// setAllServing fills every view with all members as serving, as in a data centre
+// that has run for long.
+func (s *sim) setAllServing() {
+	for _, id := range s.nodeIDs {
 		v := s.nodes[id].view
 		v.Tick(s.now, func(ids.Instance, *peerwire.Message) {})
 		v.synced = true
 		v.Fire(Ready)
 	}
 	for _, n := range s.nodes {
-		for _, id := range s.order {
+		for _, id := range s.nodeIDs {
 			m := s.nodes[id].view.Self()
 			n.view.merge(&m, -1)
 		}
-		n.view.recent = nil
+		n.view.recentChanges = nil
 	}
 }
 
-// converge runs until all views list every live node and returns the time.
+// converge runs until all views list every live node, at most for limit, and
+// returns the simulated time that this took.
 func (s *sim) converge(limit time.Duration) time.Duration {
 	from := s.now
 	for s.now.Sub(from) < limit {
@@ -236,14 +242,15 @@
 	return s.now.Sub(from)
 }
 
-// rates returns the mean and greatest bytes a second over a further period.
+// rates runs for d and returns the mean and maximum traffic of a node in bytes a
+// second.
 func (s *sim) rates(d time.Duration) (mean, greatest float64) {
 	for _, n := range s.nodes {
 		n.bytes = 0
 	}
-	s.tally = true
+	s.countBytes = true
 	s.run(d)
-	s.tally = false
+	s.countBytes = false
 	for _, n := range s.nodes {
 		r := float64(n.bytes) / d.Seconds()
 		mean += r / float64(len(s.nodes))
--- a/internal/member/tick.go
+++ b/internal/member/tick.go
@@ -9,37 +9,40 @@
 )
 
 const (
-	expireGap = 100 * time.Millisecond
-	forgetGap = 10 * time.Second
-	// probeGap is the time between two heartbeats to a seed or to a member
-	// declared gone, which may be reachable again; probeAlone applies while
-	// no other member is known.
-	probeGap   = 2 * time.Second
-	probeAlone = 500 * time.Millisecond
-	// probesAlone is the number of seeds tried at a time by a lone instance.
-	probesAlone = 3
-	maxInbound  = 16
-	// answerSeq marks the answer to a heartbeat of an instance that is no
-	// neighbour. It is never answered, which ends the exchange.
-	answerSeq = 0
-	probeSeq  = 1
-	// A suspicion that was refuted while the link stayed silent shows that
-	// only the link is cut. It is not repeated before minSuspicionBackoff,
-	// doubling up to maxSuspicionBackoff, so that a cut link does not move slots
-	// again and again; the other neighbours still detect a crash.
+	expiryInterval  = 100 * time.Millisecond
+	cleanupInterval = 10 * time.Second
+	// probeInterval is the time between two heartbeats to seeds or to members
+	// declared gone, which may be reachable again; aloneProbeInterval applies
+	// while no other member is known to be alive.
+	probeInterval      = 2 * time.Second
+	aloneProbeInterval = 500 * time.Millisecond
+	// aloneProbeCount is the number of seeds probed at a time while no other
+	// member is known to be alive.
+	aloneProbeCount = 3
+	maxInboundPeers = 16
+	// replySeq marks the reply to a heartbeat of an instance that is not a
+	// neighbour. A reply is never answered, which ends the exchange.
+	replySeq = 0
+	probeSeq = 1
+	// A suspicion that is refuted while no heartbeats arrive on the link shows
+	// that only the link has failed. The next suspicion is delayed by
+	// minSuspicionBackoff, doubling up to maxSuspicionBackoff, so that a failed
+	// link does not reassign slots repeatedly; the other neighbours still detect
+	// a crash.
 	minSuspicionBackoff = 5 * time.Second
 	maxSuspicionBackoff = time.Minute
 )
 
-type sender = func(to ids.Instance, m *peerwire.Message)
+type sendFunc = func(to ids.Instance, m *peerwire.Message)
 
-// inboundPeer is a sender of heartbeats that is no neighbour in the own view.
+// inboundPeer is a sender of heartbeats that is not a neighbour in the local view.
 type inboundPeer struct {
-	id     ids.Instance
-	sentAt ids.Time
-	due    bool
+	id        ids.Instance
+	repliedAt ids.Time
+	replyDue  bool
 }
 
+// suspicionBackoff delays the next suspicion of a neighbour.
 type suspicionBackoff struct {
 	until  ids.Time
 	length time.Duration
@@ -49,37 +52,38 @@
 // is called every 10 ms.
 func (v *View) Tick(now ids.Time, send func(to ids.Instance, m *peerwire.Message)) {
 	v.advance(now)
-	v.refill()
-	if v.now >= v.expireAt && v.suspected > 0 || v.now >= v.forgetAt {
-		v.expireAt = v.now.Add(expireGap)
-		v.forgetAt = v.now.Add(forgetGap)
+	v.refillBudgets()
+	if v.now >= v.nextExpiryAt && v.suspected > 0 || v.now >= v.nextCleanupAt {
+		v.nextExpiryAt = v.now.Add(expiryInterval)
+		v.nextCleanupAt = v.now.Add(cleanupInterval)
 		v.expire()
 	}
-	if v.linksStale || v.interval.current == 0 {
-		v.setLinks()
+	if v.linksStale || v.intervals.current == 0 {
+		v.updateLinks()
 	}
-	v.detect()
+	v.detectFailures()
 	for i := range v.links {
 		if l := &v.links[i]; l.id != "" {
-			v.repair(l, send)
-			v.serveLink(i, l, send)
+			v.repairMismatch(l, send)
+			v.sendOnLink(i, l, send)
 		}
 	}
-	v.urgent, v.urgentRevision = false, false
-	v.answer(send)
-	if v.now >= v.probeAt {
-		v.probe(send)
+	v.urgentChange, v.urgentRevision = false, false
+	v.sendReplies(send)
+	if v.now >= v.nextProbeAt {
+		v.sendProbes(send)
 	}
 	v.crossTick(send)
 	if !v.synced {
-		v.checkSynced()
+		v.checkSyncTimeout()
 	}
 }
 
-// refill adds to both budgets what regular heartbeats leave of the limit.
-func (v *View) refill() {
-	if v.budgetAt == 0 {
-		v.budget, v.small, v.budgetAt = burstBytes, smallBytes, v.now
+// refillBudgets adds to both budgets the part of the traffic limit that regular
+// heartbeats leave unused.
+func (v *View) refillBudgets() {
+	if v.budgetsRefilledAt == 0 {
+		v.deltaBudget, v.updateBudget, v.budgetsRefilledAt = maxDeltaBudget, maxUpdateBudget, v.now
 	}
 	links := 0
 	for i := range v.links {
@@ -87,24 +91,24 @@
 			links++
 		}
 	}
-	rate := outBytes
-	if v.interval.current > 0 {
-		rate -= links * heartbeatBytes * int(time.Second/time.Millisecond) / int(v.interval.current/time.Millisecond)
+	rate := sendRate
+	if v.intervals.current > 0 {
+		rate -= links * heartbeatBytes * int(time.Second/time.Millisecond) / int(v.intervals.current/time.Millisecond)
 	}
-	rate = max(rate, minExtraRate)
+	rate = max(rate, minBudgetRate)
 	perByte := time.Second / time.Duration(rate)
-	if add := int(v.now.Sub(v.budgetAt) / perByte); add > 0 {
-		v.budget, v.small = min(v.budget+add, burstBytes), min(v.small+add, smallBytes)
-		v.budgetAt = v.budgetAt.Add(time.Duration(add) * perByte)
+	if add := int(v.now.Sub(v.budgetsRefilledAt) / perByte); add > 0 {
+		v.deltaBudget, v.updateBudget = min(v.deltaBudget+add, maxDeltaBudget), min(v.updateBudget+add, maxUpdateBudget)
+		v.budgetsRefilledAt = v.budgetsRefilledAt.Add(time.Duration(add) * perByte)
 	}
 }
 
-// detect suspects neighbours that have missed too many heartbeats.
-func (v *View) detect() {
-	limit := maxMissed*v.interval.expected(v.now) + missedSlack
+// detectFailures suspects neighbours that have missed too many heartbeats.
+func (v *View) detectFailures() {
+	limit := maxMissedHeartbeats*v.intervals.expected(v.now) + heartbeatSlack
 	for i := range v.links {
 		l := &v.links[i]
-		if l.id == "" || v.now.Sub(l.heardAt) < limit || v.now < l.graceUntil {
+		if l.id == "" || v.now.Sub(l.lastHeartbeatAt) < limit || v.now < l.graceUntil {
 			continue
 		}
 		if h, ok := v.suspicionBackoffs[l.id]; ok && v.now < h.until {
@@ -116,11 +120,11 @@
 	}
 }
 
-// refuted notes that the suspicion of id was refuted although this instance
-// may still not hear it.
-func (v *View) refuted(id ids.Instance) {
-	i := v.slot(id)
-	if i < 0 || v.now.Sub(v.links[i].heardAt) < maxMissed*v.interval.expected(v.now) {
+// backOffSuspicion handles the refutation of a suspicion of id. It delays the
+// next suspicion if heartbeats of id are still missing on the local link.
+func (v *View) backOffSuspicion(id ids.Instance) {
+	i := v.linkIndex(id)
+	if i < 0 || v.now.Sub(v.links[i].lastHeartbeatAt) < maxMissedHeartbeats*v.intervals.expected(v.now) {
 		return
 	}
 	if v.suspicionBackoffs == nil {
@@ -130,92 +134,95 @@
 	v.suspicionBackoffs[id] = suspicionBackoff{v.now.Add(length), length}
 }
 
-// serveLink sends a heartbeat on link i when one is due or a few changes are
-// waiting, and many changes as a MemberDelta. The link drops a heartbeat that
-// exceeds its rate but queues a delta, so heartbeats are kept short and rare.
-func (v *View) serveLink(i int, l *link, send sender) {
-	age := v.now.Sub(l.sentAt)
-	due := l.sent == 0 || age >= v.interval.sending(v.now)
+// sendOnLink sends a heartbeat on link i when one is due or the update budget
+// allows an early one for waiting changes; changes that exceed that budget go into
+// a MemberDelta. The link drops a heartbeat that exceeds its rate limit but queues
+// a delta, so heartbeats are kept short and rare.
+func (v *View) sendOnLink(i int, l *link, send sendFunc) {
+	age := v.now.Sub(l.heartbeatSentAt)
+	due := l.heartbeatsSent == 0 || age >= v.intervals.sending(v.now)
 	if !due {
-		gap := updateGap
-		if v.urgent {
-			gap = urgentGap
+		gap := minUpdateInterval
+		if v.urgentChange {
+			gap = minUrgentInterval
 		}
-		if age < gap || v.small <= 0 || !(v.urgentRevision || len(l.extra) > 0 || v.pending(i, l)) {
-			v.beatDelta(i, l, send)
+		if age < gap || v.updateBudget <= 0 || !(v.urgentRevision || len(l.queued) > 0 || v.hasDueChange(i, l)) {
+			v.sendChangesDelta(i, l, send)
 			return
 		}
-		v.small -= heartbeatBytes + frameBytes
+		v.updateBudget -= heartbeatBytes + frameOverheadBytes
 	}
-	l.sentAt = v.now
-	l.sent++
+	l.heartbeatSentAt = v.now
+	l.heartbeatsSent++
 	var list []peerwire.Member
-	if v.small > 0 {
-		list = v.updates(i, l, maxUpdates)
+	if v.updateBudget > 0 {
+		list = v.takeUpdates(i, l, maxHeartbeatRecords)
 		for k := range list {
-			v.small -= sizeOf(&list[k])
+			v.updateBudget -= recordSize(&list[k])
 		}
 	}
-	v.sendHeartbeat(l.id, l.sent, list, send)
+	v.sendHeartbeat(l.id, l.heartbeatsSent, list, send)
 }
 
-// beatDelta sends waiting changes that did not fit in a heartbeat.
-func (v *View) beatDelta(i int, l *link, send sender) {
-	if v.small > 0 || v.budget < sessionReserve || v.now.Sub(l.deltaAt) < deltaGap || !v.pending(i, l) {
+// sendChangesDelta sends the waiting changes on link i as a MemberDelta when the
+// update budget for heartbeats is used up.
+func (v *View) sendChangesDelta(i int, l *link, send sendFunc) {
+	if v.updateBudget > 0 || v.deltaBudget < repairReserve || v.now.Sub(l.deltaSentAt) < minDeltaInterval || !v.hasDueChange(i, l) {
 		return
 	}
-	l.deltaAt = v.now
-	v.sendDelta(l.id, v.updates(i, l, partRecords), false, send)
+	l.deltaSentAt = v.now
+	v.sendDelta(l.id, v.takeUpdates(i, l, maxDeltaRecords), false, send)
 }
 
-// pending reports whether a change is to be sent to the peer now, and skips
-// those that it has.
-func (v *View) pending(i int, l *link) bool {
-	if l.sentChange >= v.changes {
+// hasDueChange reports whether a change is due to be sent on link i. It advances
+// sentChangeSeq over changes that need not be sent any more.
+func (v *View) hasDueChange(i int, l *link) bool {
+	if l.sentChangeSeq >= v.lastChangeSeq {
 		return false
 	}
-	waiting := false // an earlier change is not due yet
-	for _, e := range v.recent {
-		if e.seq <= l.sentChange {
+	waiting := false // an earlier change is not yet due
+	for _, e := range v.recentChanges {
+		if e.seq <= l.sentChangeSeq {
 			continue
 		}
 		r := v.members[e.id]
-		open := r != nil && r.change == e.seq && !r.quiet && r.knownBy&(1<<i) == 0
-		if open && v.now.Sub(r.at) >= v.delay(i, e.seq) {
+		open := r != nil && r.changeSeq == e.seq && !r.fullViewOnly && r.knownToLinks&(1<<i) == 0
+		if open && v.now.Sub(r.changedAt) >= v.forwardDelay(i, e.seq) {
 			return true
 		}
 		waiting = waiting || open
 		if !waiting {
-			l.sentChange = e.seq
+			l.sentChangeSeq = e.seq
 		}
 	}
 	return false
 }
 
-// delay returns the time before a change is forwarded on link i. The links
-// that get it at once differ from change to change.
-func (v *View) delay(i int, seq uint64) time.Duration {
+// forwardDelay returns the delay after which the change seq is forwarded on link
+// i. The links on which it is forwarded at once differ from change to change.
+func (v *View) forwardDelay(i int, seq uint64) time.Duration {
 	switch {
-	case v.alive < fullMesh:
-		return forwardDelay // the origin has a link to everyone
-	case (uint64(i)+seq)%maxLinks < quickLinks:
+	case v.aliveOthers < maxFullMesh:
+		return meshForwardDelay // the origin has a link to every instance
+	case (uint64(i)+seq)%maxLinks < immediateLinks:
 		return 0
 	}
-	return slowForward
+	return ringForwardDelay
 }
 
-// updates takes at most limit changes for the next message on link i.
-func (v *View) updates(i int, l *link, limit int) []peerwire.Member {
-	n := min(len(l.extra), limit)
-	list := slices.Clone(l.extra[:n])
-	l.extra = slices.Delete(l.extra, 0, n)
-	for _, e := range v.recent {
+// takeUpdates returns at most limit queued records and due changes for the next
+// message on link i and marks them as sent.
+func (v *View) takeUpdates(i int, l *link, limit int) []peerwire.Member {
+	n := min(len(l.queued), limit)
+	list := slices.Clone(l.queued[:n])
+	l.queued = slices.Delete(l.queued, 0, n)
+	for _, e := range v.recentChanges {
 		if len(list) >= limit {
 			break
 		}
 		r := v.members[e.id]
-		if e.seq <= l.sentChange || r == nil || r.change != e.seq || r.quiet || r.knownBy&(1<<i) != 0 ||
-			v.now.Sub(r.at) < v.delay(i, e.seq) {
+		if e.seq <= l.sentChangeSeq || r == nil || r.changeSeq != e.seq || r.fullViewOnly || r.knownToLinks&(1<<i) != 0 ||
+			v.now.Sub(r.changedAt) < v.forwardDelay(i, e.seq) {
 			continue
 		}
 		v.markKnown(i, r)
@@ -224,57 +231,60 @@
 	return list
 }
 
-func (v *View) sendHeartbeat(to ids.Instance, seq uint64, updates []peerwire.Member, send sender) {
+func (v *View) sendHeartbeat(to ids.Instance, seq uint64, updates []peerwire.Member, send sendFunc) {
 	send(to, &peerwire.Message{From: v.id, Incarnation: v.self.Incarnation, Heartbeat: &peerwire.Heartbeat{
 		Seq: seq, Clock: v.now, Digest: v.digest32(), Revision: v.revision, Updates: updates}})
 }
 
-// heardInbound notes a heartbeat from an instance that is no neighbour here. It
-// gets one in return, since this instance may be a neighbour in its view.
-func (v *View) heardInbound(id ids.Instance) {
-	i := slices.IndexFunc(v.inbound, func(g inboundPeer) bool { return g.id == id })
+// recordInbound records a heartbeat from an instance that is not a neighbour in
+// the local view. A reply is due, since this instance may be a neighbour in the
+// view of the sender.
+func (v *View) recordInbound(id ids.Instance) {
+	i := slices.IndexFunc(v.inboundPeers, func(g inboundPeer) bool { return g.id == id })
 	if i < 0 {
-		if len(v.inbound) >= maxInbound {
-			v.inbound = slices.Delete(v.inbound, 0, 1)
+		if len(v.inboundPeers) >= maxInboundPeers {
+			v.inboundPeers = slices.Delete(v.inboundPeers, 0, 1)
 		}
-		v.inbound = append(v.inbound, inboundPeer{id: id})
-		i = len(v.inbound) - 1
+		v.inboundPeers = append(v.inboundPeers, inboundPeer{id: id})
+		i = len(v.inboundPeers) - 1
 	}
-	g := &v.inbound[i]
-	g.due = g.sentAt == 0 || v.now.Sub(g.sentAt) >= intervalSmall/2
+	g := &v.inboundPeers[i]
+	g.replyDue = g.repliedAt == 0 || v.now.Sub(g.repliedAt) >= minHeartbeatInterval/2
 }
 
-// answer replies to inbound peers and to requests for records.
-func (v *View) answer(send sender) {
-	for i := range v.inbound {
-		g := &v.inbound[i]
-		if !g.due || v.slot(g.id) >= 0 {
+// sendReplies sends replies to inbound peers, responses to requests for records,
+// and the pending request for a complete view.
+func (v *View) sendReplies(send sendFunc) {
+	for i := range v.inboundPeers {
+		g := &v.inboundPeers[i]
+		if !g.replyDue || v.linkIndex(g.id) >= 0 {
 			continue
 		}
-		g.due, g.sentAt = false, v.now
-		v.small -= heartbeatBytes + frameBytes
-		v.sendProbe(g.id, answerSeq, send)
+		g.replyDue, g.repliedAt = false, v.now
+		v.updateBudget -= heartbeatBytes + frameOverheadBytes
+		v.sendProbe(g.id, replySeq, send)
 	}
-	if v.asking != "" {
-		v.sendDelta(v.asking, []peerwire.Member{v.self.Member}, true, send)
-		v.asking = ""
+	if v.fullRequestTo != "" {
+		v.sendDelta(v.fullRequestTo, []peerwire.Member{v.self.Member}, true, send)
+		v.fullRequestTo = ""
 	}
-	if v.answerLatest != "" {
-		v.sendDelta(v.answerLatest, v.latest(), false, send)
-		v.answerLatest = ""
+	if v.latestChangesTo != "" {
+		v.sendDelta(v.latestChangesTo, v.latestChanges(), false, send)
+		v.latestChangesTo = ""
 	}
-	keep := v.sessions[:0]
-	for _, s := range v.sessions {
-		if v.part(&s, send) {
+	keep := v.transfers[:0]
+	for _, s := range v.transfers {
+		if v.sendPart(&s, send) {
 			keep = append(keep, s)
 		}
 	}
-	v.sessions = keep
+	v.transfers = keep
 }
 
-// sendProbe sends a heartbeat outside the links with the own record and, when
-// the receiver is suspected or declared gone, its record to refute.
-func (v *View) sendProbe(to ids.Instance, seq uint64, send sender) {
+// sendProbe sends a heartbeat to an instance that is not a neighbour. It carries
+// the record of this instance and, when the receiver is suspected or declared
+// gone, the record that the receiver has to refute.
+func (v *View) sendProbe(to ids.Instance, seq uint64, send sendFunc) {
 	list := []peerwire.Member{v.self.Member}
 	if r := v.members[to]; r != nil && r.Suspected {
 		list = append(list, r.Member)
@@ -282,15 +292,16 @@
 	v.sendHeartbeat(to, seq, list, send)
 }
 
-// probe tries seeds and members declared gone at random.
-func (v *View) probe(send sender) {
+// sendProbes sends heartbeats to randomly selected seeds and members declared
+// gone.
+func (v *View) sendProbes(send sendFunc) {
 	var list []ids.Instance
 	for id, r := range v.members {
 		if r.declaredGone() {
 			list = append(list, id)
 		}
 	}
-	for _, seeds := range [][]Seed{v.listed, v.settings} {
+	for _, seeds := range [][]Seed{v.platformSeeds, v.configuredSeeds} {
 		for _, s := range seeds {
 			r := v.members[s.ID]
 			if s.DataCentre == v.self.DataCentre && s.ID != v.id && (r == nil || r.gone() && !r.Suspected) {
@@ -300,11 +311,11 @@
 	}
 	slices.Sort(list)
 	list = slices.Compact(list)
-	count, gap := 1, probeGap
-	if v.alive == 0 {
-		count, gap = probesAlone, probeAlone
+	count, gap := 1, probeInterval
+	if v.aliveOthers == 0 {
+		count, gap = aloneProbeCount, aloneProbeInterval
 	}
-	v.probeAt = v.now.Add(gap)
+	v.nextProbeAt = v.now.Add(gap)
 	for range min(count, len(list)) {
 		i := v.rng.IntN(len(list))
 		id := list[i]
--- a/internal/member/traffic_test.go
+++ b/internal/member/traffic_test.go
@@ -11,46 +11,47 @@
 )
 
 // Guards against control traffic above 2 KB/s per node, sent and received
-// together, at rest and after a crash and a restart among 500 instances.
+// together, without changes and after a crash and a restart, among 5 to 500
+// instances.
 func TestControlBytes(t *testing.T) {
 	for _, size := range []int{5, 6, 7, 8, 9, 50, 500} {
 		s := newSim(size)
 		if size > 100 {
 			s.step = 50 * time.Millisecond
 		}
-		s.warm()
+		s.setAllServing()
 		s.run(5 * time.Second)
-		s.agree(t)
+		s.assertAgreement(t)
 		mean, greatest := s.rates(5 * time.Second)
-		s.nodes[name(1)].dead = true
+		s.nodes[instanceID(1)].dead = true
 		s.run(9 * time.Second)
-		s.agree(t)
-		s.start(name(1), 2)
+		s.assertAgreement(t)
+		s.start(instanceID(1), 2)
 		changed, _ := s.rates(12 * time.Second)
-		s.agree(t)
-		t.Logf("%d instances: at rest mean %.0f B/s, greatest %.0f B/s; with a restart mean %.0f B/s",
+		s.assertAgreement(t)
+		t.Logf("%d instances: without changes mean %.0f B/s, maximum %.0f B/s; with a restart mean %.0f B/s",
 			size, mean, greatest, changed)
 		assert.Assert(t, greatest <= 2000 && changed <= 2000, "%d instances", size)
 	}
 }
 
-// Guards against links to other data centres that take an instance above
-// 2 KB/s: 5 data centres with 10 instances each.
+// Guards against links to other data centres that raise the traffic of an
+// instance above 2 KB/s, with 5 data centres of 10 instances each.
 func TestControlBytesAcrossDataCentres(t *testing.T) {
 	s := newSim(0)
 	for i := range 50 {
-		s.seeds = append(s.seeds, Seed{ID: name(i), DataCentre: ids.DataCentre("dc" + strconv.Itoa(i%5)), PeerAddr: "10.20.30.40:7000"})
+		s.seeds = append(s.seeds, Seed{ID: instanceID(i), DataCentre: ids.DataCentre("dc" + strconv.Itoa(i%5)), PeerAddr: "10.20.30.40:7000"})
 	}
 	for _, seed := range s.seeds {
 		s.startIn(seed.ID, 1, seed.DataCentre, s.seeds)
 	}
 	s.run(30 * time.Second)
 	mean, greatest := s.rates(10 * time.Second)
-	t.Logf("mean %.0f B/s, greatest %.0f B/s", mean, greatest)
+	t.Logf("mean %.0f B/s, maximum %.0f B/s", mean, greatest)
 	assert.Assert(t, greatest <= 2000)
 }
 
-// Guards against a cold start that does not converge.
+// Guards against a cold start after which the views do not converge.
 func TestColdStart(t *testing.T) {
 	for _, size := range []int{1, 5, 9, 24, 50, 100} {
 		s := newSim(size)
@@ -58,25 +59,25 @@
 			s.step = 50 * time.Millisecond
 		}
 		t.Logf("%d instances: views agree after %v", size, s.converge(time.Minute))
-		s.agree(t)
+		s.assertAgreement(t)
 	}
 }
 
 // Guards against changes that exceed the budget of a link, which then drops
-// heartbeats and makes live instances suspected: a cold start, a crash and a
-// restart with every byte counted against 2 KB/s per node.
+// heartbeats, so that live instances are suspected. The test runs a cold start, a
+// crash and a restart with a limit of 2 KB/s per node.
 func TestLinkBudget(t *testing.T) {
 	for _, size := range []int{5, 9, 24} {
 		s := newSim(size)
 		s.linkRate = 2048
 		cold := s.converge(30 * time.Second)
-		s.agree(t)
-		s.nodes[name(1)].dead = true
+		s.assertAgreement(t)
+		s.nodes[instanceID(1)].dead = true
 		s.run(8 * time.Second)
-		s.agree(t)
-		s.start(name(1), 2)
+		s.assertAgreement(t)
+		s.start(instanceID(1), 2)
 		s.run(8 * time.Second)
-		s.agree(t)
+		s.assertAgreement(t)
 		dropped := 0
 		for _, n := range s.nodes {
 			dropped += n.dropped
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -1,6 +1,6 @@
-// Package member keeps the view that an instance has of the others in its data
-// centre: gossip, failure detection and the lifecycle of the instance itself.
-// It performs no I/O and reads no clock.
+// Package member implements group membership for the instances of one data
+// centre: the local membership view, gossip, failure detection and the lifecycle
+// of the local instance. It performs no I/O and reads no clock.
 package member
 
 import (
@@ -14,34 +14,37 @@
 )
 
 const (
-	// pauseGap between two calls shows that the process was paused.
-	pauseGap = time.Second
-	// goneAfter is the time without refutation after which a suspected
+	// pauseThreshold is the time between two calls from which on the process is
+	// taken to have been paused.
+	pauseThreshold = time.Second
+	// suspicionTimeout is the time without refutation after which a suspected
 	// instance is declared gone.
-	goneAfter = 5 * time.Second
-	// forgetAfter is the time for which records of gone instances and
-	// successors are kept. It equals the lifetime of an admission entry, the
-	// last use of a successor.
-	forgetAfter = 300 * time.Second
-	// joinAlone is the time without any answer after which an instance
-	// considers itself the only one reachable.
-	joinAlone = 3 * time.Second
-	// joinLimit bounds the wait for a view that agrees with that of a peer;
-	// joinLonger applies while parts of a view arrive. At 500 instances and
-	// 2 KB/s a complete view takes about 18 s.
-	joinLimit  = 10 * time.Second
-	joinLonger = 30 * time.Second
-	partPause  = 2 * time.Second // between two parts
-	// maxSuccessors bounds a chain of successors in Lookup.
-	maxSuccessors = 8
+	suspicionTimeout = 5 * time.Second
+	// goneRetention is the time for which records of gone instances and of
+	// successors are kept. It equals the lifetime of an admission entry, after
+	// which a successor is no longer looked up.
+	goneRetention = 300 * time.Second
+	// joinAloneTimeout is the time without any response after which an instance
+	// assumes that no other one is reachable.
+	joinAloneTimeout = 3 * time.Second
+	// joinTimeout bounds the wait for a view that agrees with that of a peer;
+	// joinReceivingTimeout applies while parts of a view arrive. At 500 instances
+	// and 2 KB/s a complete view takes about 18 s.
+	joinTimeout          = 10 * time.Second
+	joinReceivingTimeout = 30 * time.Second
+	maxPartDelay         = 2 * time.Second // maximum time between two parts of a view
+	// maxSuccessorHops is the maximum length of the chain of successors that
+	// Lookup follows.
+	maxSuccessorHops = 8
 )
 
-// Seed is an address at which an instance may be found. It comes from the
-// settings or the platform's list and says nothing about liveness.
+// Seed is an address at which an instance may run. It comes from the settings or
+// from the platform's list of instances and does not imply that the instance is
+// alive.
 type Seed struct {
 	ID         ids.Instance
 	DataCentre ids.DataCentre
-	PeerAddr   string // IP:port of its link listener
+	PeerAddr   string // IP:port of its listener for peer links
 }
 
 // Event is an event of the lifecycle chart of this instance.
@@ -55,91 +58,92 @@
 	Leave  = chart.InstanceLeave
 )
 
-// record is a member of the own data centre and what this instance keeps
-// with it.
+// record is the membership record of an instance of the local data centre, with
+// the local state kept for it.
 type record struct {
 	peerwire.Member
-	hash    uint64   // contribution to the digest; 0 when gone
-	since   ids.Time // when it became suspected or gone here
-	change  uint64   // sequence number of its last change here
-	knownBy uint16   // link slots whose peer has this record
-	quiet   bool     // sent with complete views only
-	at      ids.Time // of its last change here
+	hash         uint64   // contribution to the digest; 0 when the member is gone
+	stateSince   ids.Time // local time at which the member became suspected or gone
+	changeSeq    uint64   // local sequence number of the last change of the record
+	knownToLinks uint16   // bit set of the links whose peer has this record
+	fullViewOnly bool     // sent in complete views only, not as a change
+	changedAt    ids.Time // local time of the last change of the record
 }
 
 func (r *record) gone() bool { return r.Lifecycle == peerwire.Gone }
 
-// declaredGone tells a member declared gone after suspicion from one that has
-// left as planned. Only the former may still be alive.
+// declaredGone reports whether the member was declared gone after a suspicion,
+// as opposed to a planned stop. Only such a member may still be alive.
 func (r *record) declaredGone() bool { return r.gone() && r.Suspected }
 
 type successor struct {
 	incarnation ids.Incarnation
-	since       ids.Time
+	recordedAt  ids.Time
 }
 
-// View is everything known of the instances of the own data centre.
+// View is the membership view of the local instance: the records of all known
+// instances of its data centre.
 type View struct {
-	id      ids.Instance
-	self    *record // never gone unless this instance has left
-	machine chart.Machine
-	rng     *rand.Rand
-
-	members    map[ids.Instance]*record
-	byRun      map[ids.Incarnation]*record
-	successors map[ids.Incarnation]successor
-	digest     uint64 // XOR of the hashes of all members
-	suspected  int    // members suspected and not yet gone
-	superseded ids.Incarnation
-
-	serving      []ids.Instance
-	servingStale bool // serving must be computed again
-	changed      bool // serving differs from what Changed last reported
-
-	settings []Seed // from the settings
-	listed   []Seed // from the platform's list
-	revision ids.Revision
-
-	now         ids.Time
-	refreshFrom ids.Time // start of the join or of the refresh after a pause
-	heardPeer   bool     // a peer has answered since refreshFrom
-	synced      bool
+	id        ids.Instance
+	self      *record // gone only after this instance has left
+	lifecycle chart.Machine
+	rng       *rand.Rand
+
+	members       map[ids.Instance]*record
+	byIncarnation map[ids.Incarnation]*record
+	successors    map[ids.Incarnation]successor
+	digest        uint64 // XOR of the hashes of all records
+	suspected     int    // number of members that are suspected and not yet gone
+	superseded    ids.Incarnation
+
+	serving        []ids.Instance
+	servingStale   bool // serving has to be computed again
+	servingChanged bool // serving changed since the last call of Changed
+
+	configuredSeeds []Seed // seeds from the settings
+	platformSeeds   []Seed // seeds from the platform's list
+	revision        ids.Revision
+
+	now                   ids.Time
+	refreshStartedAt      ids.Time // start of the join or of the refresh after a pause
+	peerHeartbeatReceived bool     // a heartbeat was received since refreshStartedAt
+	synced                bool
 
 	gossip
 	cross
 }
 
-// New returns the view of the instance self, which knows only its seeds. Self
-// starts as joining.
+// New returns the view of the instance self, which contains self in the state
+// joining and the seeds from the settings.
 func New(self peerwire.Member, seeds []Seed, seed uint64) *View {
 	self.Lifecycle = peerwire.Joining
 	self.Suspected = false
 	v := &View{
-		id:         self.ID,
-		machine:    chart.Instance.New(),
-		rng:        rand.New(rand.NewPCG(seed, ids.Hash(string(self.ID)))),
-		members:    map[ids.Instance]*record{},
-		byRun:      map[ids.Incarnation]*record{},
-		successors: map[ids.Incarnation]successor{},
-		settings:   slices.Clone(seeds),
+		id:              self.ID,
+		lifecycle:       chart.Instance.New(),
+		rng:             rand.New(rand.NewPCG(seed, ids.Hash(string(self.ID)))),
+		members:         map[ids.Instance]*record{},
+		byIncarnation:   map[ids.Incarnation]*record{},
+		successors:      map[ids.Incarnation]successor{},
+		configuredSeeds: slices.Clone(seeds),
 	}
-	v.cross.peers = map[ids.Instance]*crossPeer{}
-	v.gossip.clocks = map[ids.Instance]*clock{}
-	v.self = v.put(self)
-	v.changed = true
+	v.cross.crossPeers = map[ids.Instance]*crossPeer{}
+	v.gossip.clockOffsets = map[ids.Instance]*clockOffset{}
+	v.self = v.addRecord(self)
+	v.servingChanged = true
 	return v
 }
 
 // SetPlatformSeeds replaces the seeds that come from the platform's list.
 func (v *View) SetPlatformSeeds(now ids.Time, listed []Seed) {
 	v.advance(now)
-	v.listed = append(v.listed[:0], listed...)
+	v.platformSeeds = append(v.platformSeeds[:0], listed...)
 }
 
 // Fire applies a lifecycle event of this instance. It returns false when the
 // current state does not react to it.
 func (v *View) Fire(e Event) bool {
-	actions, ok := v.machine.Fire(e)
+	actions, ok := v.lifecycle.Fire(e)
 	if !ok {
 		return false
 	}
@@ -147,7 +151,7 @@
 		switch a {
 		case chart.InstanceAnnounce:
 			m := v.self.Member
-			m.Lifecycle = peerwire.Lifecycle(v.machine.State())
+			m.Lifecycle = peerwire.Lifecycle(v.lifecycle.State())
 			v.announce(m)
 		case chart.InstanceRefresh:
 			v.refresh()
@@ -156,32 +160,33 @@
 	return true
 }
 
-// announce replaces the own record under a higher counter, which overrides
-// every older record of this incarnation, and gossips it at once.
+// announce replaces the record of this instance with a higher counter, which
+// overrides every older record of this incarnation, and gossips it at once.
 func (v *View) announce(m peerwire.Member) {
 	m.Counter++
 	m.Suspected = false
-	v.replace(v.self, m)
+	v.updateRecord(v.self, m)
 	v.broadcast(v.self)
 }
 
-// refresh starts a new comparison with the peers. Silence during the pause
-// says nothing about the neighbours, so their deadlines start again.
+// refresh marks the view as unsynced until it has been compared with that of a
+// peer again. Heartbeats missed during a pause of this process are no evidence
+// against the neighbours, so their deadlines restart.
 func (v *View) refresh() {
-	v.refreshFrom, v.heardPeer, v.synced = v.now, false, false
-	v.askGap, v.askAt = 0, v.now
+	v.refreshStartedAt, v.peerHeartbeatReceived, v.synced = v.now, false, false
+	v.fullRequestInterval, v.nextFullRequestAt = 0, v.now
 	for i := range v.links {
-		v.links[i].restart(v.now)
+		v.links[i].restartDeadlines(v.now)
 	}
 }
 
-// advance sets the current time and detects a pause of this process.
+// advance sets the current time and detects whether this process was paused.
 func (v *View) advance(now ids.Time) {
 	last := v.now
 	v.now = max(now, last)
 	if last == 0 {
 		v.refresh()
-	} else if v.now.Sub(last) > pauseGap {
+	} else if v.now.Sub(last) > pauseThreshold {
 		v.Fire(Resume)
 	}
 }
@@ -195,8 +200,8 @@
 	}
 }
 
-// SetSuccessor announces the incarnation that answers for the admissions of
-// this one after its planned stop.
+// SetSuccessor announces the incarnation that takes over the admissions of this
+// one after its planned stop.
 func (v *View) SetSuccessor(i ids.Incarnation) {
 	m := v.self.Member
 	m.Successor = i
@@ -204,30 +209,31 @@
 }
 
 // Synced reports whether, since the start or the last pause, the view has
-// agreed with that of a peer or the bounded wait for that has ended.
+// agreed with that of a peer or the wait for this has timed out.
 func (v *View) Synced() bool { return v.synced }
 
-func (v *View) checkSynced() {
-	wait := v.now.Sub(v.refreshFrom)
-	arriving := v.now.Sub(v.partAt) < partPause && wait < joinLonger
-	if wait >= joinLimit && !arriving || wait >= joinAlone && !v.heardPeer {
+func (v *View) checkSyncTimeout() {
+	wait := v.now.Sub(v.refreshStartedAt)
+	arriving := v.now.Sub(v.partReceivedAt) < maxPartDelay && wait < joinReceivingTimeout
+	if wait >= joinTimeout && !arriving || wait >= joinAloneTimeout && !v.peerHeartbeatReceived {
 		v.synced = true
 	}
 }
 
-// Superseded returns the higher incarnation that runs, or has run, under the
-// id of this instance. A process that gets one must stop or start again with
-// an incarnation above it, since its own records are ignored by the others.
+// Superseded returns the higher incarnation that runs, or has run, under the id
+// of this instance, if one was reported. The process must then stop or restart
+// with an incarnation above it, since the other instances ignore its records.
 func (v *View) Superseded() (ids.Incarnation, bool) { return v.superseded, v.superseded != 0 }
 
-// Serving returns the serving and trusted instances of the own data centre,
-// sorted. The caller must not change it; it is valid until the next change.
+// Serving returns the sorted ids of the instances of the local data centre that
+// are serving and not suspected. The caller must not change the slice, which is
+// valid until the next change.
 func (v *View) Serving() []ids.Instance {
-	v.refreshServing()
+	v.updateServing()
 	return v.serving
 }
 
-func (v *View) refreshServing() {
+func (v *View) updateServing() {
 	if !v.servingStale {
 		return
 	}
@@ -240,27 +246,27 @@
 	}
 	slices.Sort(list)
 	if !slices.Equal(list, v.serving) {
-		v.serving, v.changed = list, true
+		v.serving, v.servingChanged = list, true
 	}
 }
 
 // Changed reports whether Serving changed since the last call.
 func (v *View) Changed() bool {
-	v.refreshServing()
-	c := v.changed
-	v.changed = false
+	v.updateServing()
+	c := v.servingChanged
+	v.servingChanged = false
 	return c
 }
 
-// Lookup returns the instance that answers for incarnation i, following
+// Lookup returns the instance that is responsible for incarnation i, following
 // successors. It returns false when there is none.
 func (v *View) Lookup(i ids.Incarnation) (peerwire.Member, bool) {
-	for range maxSuccessors {
+	for range maxSuccessorHops {
 		if s, ok := v.successors[i]; ok {
 			i = s.incarnation
 			continue
 		}
-		r := v.byRun[i]
+		r := v.byIncarnation[i]
 		if r == nil || r.gone() {
 			return peerwire.Member{}, false
 		}
@@ -269,15 +275,16 @@
 	return peerwire.Member{}, false
 }
 
-// Address returns the link address of an instance or a seed.
+// Address returns the link address of an instance or a seed, and false when it
+// is unknown.
 func (v *View) Address(id ids.Instance) (string, bool) {
 	if r := v.members[id]; r != nil && r.PeerAddr != "" {
 		return r.PeerAddr, true
 	}
-	if p := v.cross.peers[id]; p != nil && p.addr != "" {
+	if p := v.cross.crossPeers[id]; p != nil && p.addr != "" {
 		return p.addr, true
 	}
-	for _, list := range [][]Seed{v.listed, v.settings} {
+	for _, list := range [][]Seed{v.platformSeeds, v.configuredSeeds} {
 		for i := range list {
 			if list[i].ID == id {
 				return list[i].PeerAddr, true
@@ -290,7 +297,7 @@
 // State returns the lifecycle state of this instance.
 func (v *View) State() peerwire.Lifecycle { return v.self.Lifecycle }
 
-// Self returns the own record.
+// Self returns the record of this instance.
 func (v *View) Self() peerwire.Member { return v.self.Member }
 
 // Members returns all records, those of gone instances included, sorted by id.
