--- a/internal/member/cross.go
+++ b/internal/member/cross.go
@@ -33,17 +33,18 @@
 type cross struct {
 	crossPeers      map[ids.Instance]*crossPeer
 	nextCrossTickAt ids.Time
-	fullRequestTo   ids.Instance // instance to which a request for its complete view is sent next
-	latestChangesTo ids.Instance // instance to which the latest changes are sent next
+	fullRequestTo   ids.Instance // peer that the next Tick asks for its complete view
+	latestChangesTo ids.Instance // peer to which the next Tick sends the latest changes
 }
 
+// crossPeer is an instance of another data centre.
 type crossPeer struct {
 	dataCentre      ids.DataCentre
 	addr            string
 	lastHeartbeatAt ids.Time
 	startedAt       ids.Time // start of the present attempt to reach the peer; 0 when there is none
-	avoidUntil      ids.Time
-	replyDue        bool // a heartbeat has to be answered
+	avoidUntil      ids.Time // not selected before this time
+	replyDue        bool     // a heartbeat has to be answered
 	heartbeatsSent  uint64
 }
 
@@ -90,10 +91,10 @@
 			delete(v.crossPeers, id)
 		}
 	}
-	chosen := v.crossTargets()
+	targets := v.crossTargets()
 	for _, id := range v.sortedCrossPeers() {
 		p := v.crossPeers[id]
-		initiate := slices.Contains(chosen, id)
+		initiate := slices.Contains(targets, id)
 		if !initiate {
 			p.startedAt = 0
 		}
@@ -114,6 +115,7 @@
 	}
 }
 
+// sortedCrossPeers returns the ids of the peers in other data centres, sorted.
 func (v *View) sortedCrossPeers() []ids.Instance {
 	return slices.Sorted(maps.Keys(v.crossPeers))
 }
@@ -125,19 +127,19 @@
 	if !slices.Contains(rankByRendezvous(v.Serving(), crossRankKey, crossLinkInstances), v.id) {
 		return nil
 	}
-	byCentre := map[ids.DataCentre][]Seed{}
+	byDataCentre := map[ids.DataCentre][]Seed{}
 	for _, seeds := range [][]Seed{v.platformSeeds, v.configuredSeeds} {
 		for _, s := range seeds {
 			if s.DataCentre != v.self.DataCentre {
-				byCentre[s.DataCentre] = append(byCentre[s.DataCentre], s)
+				byDataCentre[s.DataCentre] = append(byDataCentre[s.DataCentre], s)
 			}
 		}
 	}
-	var chosen []ids.Instance
-	for _, dc := range slices.Sorted(maps.Keys(byCentre)) {
-		chosen = append(chosen, v.crossTargetsIn(dc, byCentre[dc])...)
+	var targets []ids.Instance
+	for _, dc := range slices.Sorted(maps.Keys(byDataCentre)) {
+		targets = append(targets, v.crossTargetsIn(dc, byDataCentre[dc])...)
 	}
-	return chosen
+	return targets
 }
 
 // crossTargetsIn returns the seeds in data centre dc to which this instance keeps
@@ -149,9 +151,9 @@
 	for i, s := range seeds {
 		list[i] = s.ID
 	}
-	var chosen []ids.Instance
+	var targets []ids.Instance
 	for _, id := range rankByRendezvous(list, crossRankKey, len(list)) {
-		if len(chosen) == crossLinkInstances {
+		if len(targets) == crossLinkInstances {
 			break
 		}
 		p := v.addCrossPeer(id, dc)
@@ -165,9 +167,9 @@
 			p.startedAt, p.avoidUntil = 0, v.now.Add(crossRetryDelay)
 			continue
 		}
-		chosen = append(chosen, id)
+		targets = append(targets, id)
 	}
-	return chosen
+	return targets
 }
 
 // rankByRendezvous returns the n instances of the sorted list with the highest
--- a/internal/member/gossip.go
+++ b/internal/member/gossip.go
@@ -66,10 +66,13 @@
 	// 2 KB/s for control traffic in both directions. maxDeltaBudget allows a
 	// complete view of 500 members to be sent to a joining instance at once.
 	// heartbeatBytes and recordBytes are sizes in CBOR.
+	// minBudgetRate is the minimum rate, in bytes a second, at which the budgets
+	// are refilled.
 	sendRate      = 1000
 	minBudgetRate = 100
-	// repairReserve is the part of deltaBudget that complete views leave unused,
-	// since they would otherwise delay the changes that make the views agree.
+	// repairReserve is the part of deltaBudget that complete views and deltas of
+	// changes leave to repairs, since complete views would otherwise delay the
+	// changes that make the views agree.
 	repairReserve  = 4 << 10
 	maxDeltaBudget = 256 << 10
 	heartbeatBytes = 50
@@ -120,6 +123,7 @@
 	nextPartAt ids.Time
 }
 
+// recordSize returns the approximate encoded size of a record.
 func recordSize(m *peerwire.Member) int {
 	return recordBytes + len(m.ID) + len(m.DataCentre) + len(m.PeerAddr)
 }
@@ -134,7 +138,8 @@
 	v.recentChanges = append(v.recentChanges, change{v.lastChangeSeq, r.ID})
 }
 
-// queueRecord adds a record to the next message on the link to id, if there is one.
+// queueRecord adds a record to the next message on the link to id. It does nothing
+// if there is no such link.
 func (v *View) queueRecord(id ids.Instance, m peerwire.Member) {
 	i := v.linkIndex(id)
 	if i < 0 {
@@ -164,7 +169,7 @@
 	}
 	v.peerHeartbeatReceived = true
 	if r := v.members[from]; r != nil && r.Suspected {
-		// The instance is alive. It receives the suspicion and refutes it.
+		// The instance is alive: send it the suspicion so that it can refute it.
 		v.queueRecord(from, r.Member)
 	}
 	if i < 0 {
@@ -186,8 +191,8 @@
 // short.
 func (v *View) digest32() uint64 { return v.digest>>32 ^ v.digest&0xffffffff }
 
-// compareDigest compares the digest of the peer of l with the local one. A mismatch
-// starts the delay before a repair.
+// compareDigest compares the digest of the peer of l with the local one. A
+// mismatch starts the delay before a repair.
 func (v *View) compareDigest(l *link, digest uint64) {
 	if digest == v.digest32() {
 		l.mismatchSince, l.repairs, v.synced = 0, 0, true
@@ -255,19 +260,19 @@
 	v.fullRequestTo = id
 }
 
-// HandleDelta handles records of another instance, which may be a request (Reply
-// is set). A request with at most the record of the sender asks for the complete
-// view, one with more records for the latest changes.
+// HandleDelta merges the records in d. If Reply is set, d is a request: with at
+// most the record of the sender it asks for the complete view, with more records
+// for the latest changes.
 func (v *View) HandleDelta(now ids.Time, from ids.Instance, d *peerwire.MemberDelta) {
 	v.advance(now)
 	if from == v.id || from == "" {
 		return
 	}
 	i := v.linkIndex(from)
-	running := !v.synced && mostlyServing(d.Members)
+	joinsRunning := !v.synced && mostlyServing(d.Members)
 	for k := range d.Members {
 		v.merge(&d.Members[k], i)
-		if r := v.members[d.Members[k].ID]; running && r != nil && r != v.self {
+		if r := v.members[d.Members[k].ID]; joinsRunning && r != nil && r != v.self {
 			r.fullViewOnly = true
 		}
 	}
@@ -283,8 +288,8 @@
 		v.latestChangesTo = from
 		return
 	}
-	known := slices.ContainsFunc(v.transfers, func(s viewTransfer) bool { return s.to == from })
-	if !known && len(v.transfers) < maxTransfers {
+	transferring := slices.ContainsFunc(v.transfers, func(s viewTransfer) bool { return s.to == from })
+	if !transferring && len(v.transfers) < maxTransfers {
 		v.expireKnown(i)
 		v.transfers = append(v.transfers, viewTransfer{to: from, nextPartAt: now})
 	}
@@ -311,9 +316,9 @@
 		return true
 	}
 	var list []ids.Instance
-	slot := v.linkIndex(s.to)
+	index := v.linkIndex(s.to)
 	for id, r := range v.members {
-		if id > s.lastSent && (slot < 0 || r.knownToLinks&(1<<slot) == 0) {
+		if id > s.lastSent && (index < 0 || r.knownToLinks&(1<<index) == 0) {
 			list = append(list, id)
 		}
 	}
@@ -327,13 +332,14 @@
 		}
 		out = append(out, m)
 		s.lastSent = id
-		v.markKnown(slot, v.members[id])
+		v.markKnown(index, v.members[id])
 	}
 	s.nextPartAt = v.now.Add(partInterval)
 	v.sendDelta(s.to, out, false, send)
 	return len(out) < len(list)
 }
 
+// sendDelta sends records to another instance and charges them to deltaBudget.
 func (v *View) sendDelta(to ids.Instance, members []peerwire.Member, reply bool, send sendFunc) {
 	v.deltaBudget -= heartbeatBytes
 	for i := range members {
@@ -345,29 +351,29 @@
 
 // markKnown records that the peer of a link has, or is being sent, r. A negative
 // index stands for no link.
-func (v *View) markKnown(slot int, r *record) {
-	if slot >= 0 {
-		r.knownToLinks |= 1 << slot
+func (v *View) markKnown(index int, r *record) {
+	if index >= 0 {
+		r.knownToLinks |= 1 << index
 	}
 }
 
 // expireKnown lets records be sent again, after resendDelay, to a peer that
 // requests a complete view although it was sent them, since messages may have
 // been lost.
-func (v *View) expireKnown(slot int) {
-	if slot < 0 || v.now.Sub(v.links[slot].knownSince) < resendDelay {
+func (v *View) expireKnown(index int) {
+	if index < 0 || v.now.Sub(v.links[index].knownSince) < resendDelay {
 		return
 	}
-	v.links[slot].knownSince = v.now
-	v.clearKnown(slot)
+	v.links[index].knownSince = v.now
+	v.clearKnown(index)
 }
 
 // clearKnown marks every record as unknown to the peer of a link.
-func (v *View) clearKnown(slot int) {
-	if slot < 0 {
+func (v *View) clearKnown(index int) {
+	if index < 0 {
 		return
 	}
 	for _, r := range v.members {
-		r.knownToLinks &^= 1 << slot
+		r.knownToLinks &^= 1 << index
 	}
 }
--- a/internal/member/merge.go
+++ b/internal/member/merge.go
@@ -73,16 +73,16 @@
 	if m.Successor != 0 && m.Successor != m.Incarnation {
 		v.successors[m.Incarnation] = successor{m.Successor, v.now}
 	}
-	wasWatched := old.Suspected && old.Lifecycle != peerwire.Gone
-	watched := m.Suspected && m.Lifecycle != peerwire.Gone
-	if watched != wasWatched {
-		if watched {
+	wasSuspected := old.Suspected && old.Lifecycle != peerwire.Gone
+	isSuspected := m.Suspected && m.Lifecycle != peerwire.Gone
+	if isSuspected != wasSuspected {
+		if isSuspected {
 			v.suspected++
 		} else {
 			v.suspected--
 		}
 	}
-	if watched && !wasWatched || m.Lifecycle == peerwire.Gone && old.Lifecycle != peerwire.Gone {
+	if isSuspected && !wasSuspected || m.Lifecycle == peerwire.Gone && old.Lifecycle != peerwire.Gone {
 		r.stateSince = v.now
 	}
 	if old.ID == "" || (old.Lifecycle == peerwire.Gone) != (m.Lifecycle == peerwire.Gone) {
@@ -98,9 +98,9 @@
 	v.logChange(r)
 }
 
-// merge handles a received record. from is the index of the link to the sender,
-// or -1 when the sender is not a neighbour.
-func (v *View) merge(m *peerwire.Member, from int) {
+// merge handles a received record. fromLink is the index of the link to the
+// sender, or -1 when the sender is not a neighbour.
+func (v *View) merge(m *peerwire.Member, fromLink int) {
 	if m.DataCentre != v.self.DataCentre || m.ID == "" || m.Lifecycle > peerwire.Gone {
 		return
 	}
@@ -115,7 +115,7 @@
 		v.mergeOther(r, m)
 	}
 	if r.Incarnation == m.Incarnation && r.Counter == m.Counter && r.Suspected == m.Suspected {
-		v.markKnown(from, r)
+		v.markKnown(fromLink, r)
 	}
 }
 
@@ -191,6 +191,7 @@
 	}
 }
 
+// suspicionState returns the state of the record in the chart Suspicion.
 func suspicionState(r *record) chart.State {
 	if r.Suspected {
 		return chart.Suspected
@@ -225,6 +226,7 @@
 	}
 }
 
+// forgetMember removes the record of a gone member.
 func (v *View) forgetMember(id ids.Instance, r *record) {
 	delete(v.members, id)
 	delete(v.clockOffsets, id)
--- a/internal/member/neighbours.go
+++ b/internal/member/neighbours.go
@@ -43,7 +43,7 @@
 	id                ids.Instance
 	lastHeartbeatAt   ids.Time // time of the last heartbeat, or the start of the wait for one
 	graceUntil        ids.Time // the peer is not suspected before this time
-	heartbeatReceived bool
+	heartbeatReceived bool     // a heartbeat was received on this link
 	heartbeatSentAt   ids.Time
 	heartbeatsSent    uint64   // number of heartbeats sent
 	deltaSentAt       ids.Time // time of the last delta of changes
@@ -126,22 +126,23 @@
 	slices.Sort(alive)
 	v.aliveOthers = len(alive)
 	v.intervals.set(v.now, intervalFor(len(alive)+1))
-	want := alive
+	neighbours := alive
 	if len(alive)+1 > maxFullMesh {
-		want = ringNeighbours(v.id, alive)
+		neighbours = ringNeighbours(v.id, alive)
 	}
 	for i := range v.links {
-		if l := &v.links[i]; l.id != "" && !slices.Contains(want, l.id) {
+		if l := &v.links[i]; l.id != "" && !slices.Contains(neighbours, l.id) {
 			*l = link{}
 		}
 	}
-	for _, id := range want {
+	for _, id := range neighbours {
 		if v.linkIndex(id) < 0 {
 			v.openLink(id)
 		}
 	}
 }
 
+// openLink assigns an unused link to id.
 func (v *View) openLink(id ids.Instance) {
 	for i := range v.links {
 		l := &v.links[i]
@@ -161,23 +162,23 @@
 // ring, without duplicates.
 func ringNeighbours(self ids.Instance, others []ids.Instance) []ids.Instance {
 	var list []ids.Instance
-	own := ids.Hash(string(self))
+	ownHash := ids.Hash(string(self))
 	hashes := make([]uint64, len(others))
 	for i, id := range others {
 		hashes[i] = ids.Hash(string(id))
 	}
 	for ring := range uint64(rings) {
-		at := ids.Mix(own, ringHashSeed+ring)
+		ownPosition := ids.Mix(ownHash, ringHashSeed+ring)
 		next, prev := 0, 0
-		var nextGap, prevGap uint64
+		var nextDistance, prevDistance uint64
 		for i, h := range hashes {
 			// Distances wrap around the ring of 2^64 positions.
-			p := ids.Mix(h, ringHashSeed+ring)
-			if g := p - at; i == 0 || g < nextGap {
-				next, nextGap = i, g
+			position := ids.Mix(h, ringHashSeed+ring)
+			if distance := position - ownPosition; i == 0 || distance < nextDistance {
+				next, nextDistance = i, distance
 			}
-			if g := at - p; i == 0 || g < prevGap {
-				prev, prevGap = i, g
+			if distance := ownPosition - position; i == 0 || distance < prevDistance {
+				prev, prevDistance = i, distance
 			}
 		}
 		for _, i := range []int{next, prev} {
--- a/internal/member/sim_test.go
+++ b/internal/member/sim_test.go
@@ -53,11 +53,15 @@
 
 func instanceID(i int) ids.Instance { return ids.Instance(fmt.Sprintf("entry-%03d", i)) }
 
-func newMember(id ids.Instance, run uint64, dc ids.DataCentre) peerwire.Member {
-	return peerwire.Member{ID: id, Incarnation: ids.Incarnation(run<<32 | ids.Hash(string(id))&0xffffffff),
+// newMember returns the record of an instance. A higher generation gives a higher
+// incarnation.
+func newMember(id ids.Instance, generation uint64, dc ids.DataCentre) peerwire.Member {
+	return peerwire.Member{ID: id, Incarnation: ids.Incarnation(generation<<32 | ids.Hash(string(id))&0xffffffff),
 		DataCentre: dc, PeerAddr: "10.20.30.40:7000"}
 }
 
+// newSim returns a simulation of n instances of one data centre that have just
+// started.
 func newSim(n int) *sim {
 	s := &sim{now: start, step: 10 * time.Millisecond, delay: time.Millisecond, nodes: map[ids.Instance]*node{},
 		lifecycles: map[ids.Incarnation]peerwire.Lifecycle{}}
@@ -70,12 +74,13 @@
 	return s
 }
 
-func (s *sim) start(id ids.Instance, run uint64) *node {
-	return s.startIn(id, run, "anand", s.seeds)
+// start starts, or restarts, an instance in the default data centre.
+func (s *sim) start(id ids.Instance, generation uint64) *node {
+	return s.startIn(id, generation, "anand", s.seeds)
 }
 
-func (s *sim) startIn(id ids.Instance, run uint64, dc ids.DataCentre, seeds []Seed) *node {
-	n := &node{id: id, view: New(newMember(id, run, dc), seeds, 7)}
+func (s *sim) startIn(id ids.Instance, generation uint64, dc ids.DataCentre, seeds []Seed) *node {
+	n := &node{id: id, view: New(newMember(id, generation, dc), seeds, 7)}
 	if s.nodes[id] == nil {
 		s.nodeIDs = append(s.nodeIDs, id)
 	}
@@ -83,6 +88,7 @@
 	return n
 }
 
+// send returns the function with which the view of from sends messages.
 func (s *sim) send(from *node) func(ids.Instance, *peerwire.Message) {
 	return func(to ids.Instance, m *peerwire.Message) {
 		size := 0
@@ -98,8 +104,8 @@
 			if s.isCut != nil && s.isCut(from.id, to) {
 				return size
 			}
-			if d := s.nodes[to]; d != nil && !d.dead {
-				d.bytes += size
+			if receiver := s.nodes[to]; receiver != nil && !receiver.dead {
+				receiver.bytes += size
 				s.inFlight = append(s.inFlight, packet{s.now.Add(s.delay), from.id, to, m})
 			}
 			return size
@@ -134,19 +140,21 @@
 	}
 }
 
+// deliver passes the packets that are due to their receivers. Packets to a paused
+// node are delayed.
 func (s *sim) deliver() {
 	due := 0
 	for ; due < len(s.inFlight) && s.inFlight[due].at <= s.now; due++ {
 		p := s.inFlight[due]
-		d := s.nodes[p.to]
+		receiver := s.nodes[p.to]
 		switch {
-		case d.dead:
-		case d.paused:
+		case receiver.dead:
+		case receiver.paused:
 			s.inFlight = append(s.inFlight, packet{s.now.Add(s.step), p.from, p.to, p.msg})
 		case p.msg.Heartbeat != nil:
-			d.view.HandleHeartbeat(s.now, p.from, p.msg.Heartbeat)
+			receiver.view.HandleHeartbeat(s.now, p.from, p.msg.Heartbeat)
 		default:
-			d.view.HandleDelta(s.now, p.from, p.msg.MemberDelta)
+			receiver.view.HandleDelta(s.now, p.from, p.msg.MemberDelta)
 		}
 	}
 	s.inFlight = slices.Delete(s.inFlight, 0, due)
@@ -226,16 +234,16 @@
 	from := s.now
 	for s.now.Sub(from) < limit {
 		s.run(500 * time.Millisecond)
-		live, agree := 0, true
+		live, agreed := 0, true
 		for _, n := range s.nodes {
 			if !n.dead {
 				live++
 			}
 		}
 		for _, n := range s.nodes {
-			agree = agree && (n.dead || len(n.view.Serving()) == live)
+			agreed = agreed && (n.dead || len(n.view.Serving()) == live)
 		}
-		if agree {
+		if agreed {
 			break
 		}
 	}
@@ -244,7 +252,7 @@
 
 // rates runs for d and returns the mean and maximum traffic of a node in bytes a
 // second.
-func (s *sim) rates(d time.Duration) (mean, greatest float64) {
+func (s *sim) rates(d time.Duration) (mean, maximum float64) {
 	for _, n := range s.nodes {
 		n.bytes = 0
 	}
@@ -254,7 +262,7 @@
 	for _, n := range s.nodes {
 		r := float64(n.bytes) / d.Seconds()
 		mean += r / float64(len(s.nodes))
-		greatest = max(greatest, r)
+		maximum = max(maximum, r)
 	}
-	return mean, greatest
+	return mean, maximum
 }
--- a/internal/member/tick.go
+++ b/internal/member/tick.go
@@ -9,6 +9,8 @@
 )
 
 const (
+	// expiryInterval is the time between two calls of expire while members are
+	// suspected; cleanupInterval applies otherwise.
 	expiryInterval  = 100 * time.Millisecond
 	cleanupInterval = 10 * time.Second
 	// probeInterval is the time between two heartbeats to seeds or to members
@@ -19,6 +21,8 @@
 	// aloneProbeCount is the number of seeds probed at a time while no other
 	// member is known to be alive.
 	aloneProbeCount = 3
+	// maxInboundPeers bounds the senders whose heartbeats are answered although
+	// they are not neighbours.
 	maxInboundPeers = 16
 	// replySeq marks the reply to a heartbeat of an instance that is not a
 	// neighbour. A reply is never answered, which ends the exchange.
@@ -33,6 +37,7 @@
 	maxSuspicionBackoff = time.Minute
 )
 
+// sendFunc sends a message to another instance.
 type sendFunc = func(to ids.Instance, m *peerwire.Message)
 
 // inboundPeer is a sender of heartbeats that is not a neighbour in the local view.
@@ -111,7 +116,7 @@
 		if l.id == "" || v.now.Sub(l.lastHeartbeatAt) < limit || v.now < l.graceUntil {
 			continue
 		}
-		if h, ok := v.suspicionBackoffs[l.id]; ok && v.now < h.until {
+		if backoff, ok := v.suspicionBackoffs[l.id]; ok && v.now < backoff.until {
 			continue
 		}
 		if r := v.members[l.id]; r != nil {
@@ -186,11 +191,11 @@
 			continue
 		}
 		r := v.members[e.id]
-		open := r != nil && r.changeSeq == e.seq && !r.fullViewOnly && r.knownToLinks&(1<<i) == 0
-		if open && v.now.Sub(r.changedAt) >= v.forwardDelay(i, e.seq) {
+		unsent := r != nil && r.changeSeq == e.seq && !r.fullViewOnly && r.knownToLinks&(1<<i) == 0
+		if unsent && v.now.Sub(r.changedAt) >= v.forwardDelay(i, e.seq) {
 			return true
 		}
-		waiting = waiting || open
+		waiting = waiting || unsent
 		if !waiting {
 			l.sentChangeSeq = e.seq
 		}
@@ -231,6 +236,7 @@
 	return list
 }
 
+// sendHeartbeat sends a heartbeat with the given sequence number and records.
 func (v *View) sendHeartbeat(to ids.Instance, seq uint64, updates []peerwire.Member, send sendFunc) {
 	send(to, &peerwire.Message{From: v.id, Incarnation: v.self.Incarnation, Heartbeat: &peerwire.Heartbeat{
 		Seq: seq, Clock: v.now, Digest: v.digest32(), Revision: v.revision, Updates: updates}})
@@ -240,7 +246,7 @@
 // the local view. A reply is due, since this instance may be a neighbour in the
 // view of the sender.
 func (v *View) recordInbound(id ids.Instance) {
-	i := slices.IndexFunc(v.inboundPeers, func(g inboundPeer) bool { return g.id == id })
+	i := slices.IndexFunc(v.inboundPeers, func(p inboundPeer) bool { return p.id == id })
 	if i < 0 {
 		if len(v.inboundPeers) >= maxInboundPeers {
 			v.inboundPeers = slices.Delete(v.inboundPeers, 0, 1)
@@ -248,21 +254,21 @@
 		v.inboundPeers = append(v.inboundPeers, inboundPeer{id: id})
 		i = len(v.inboundPeers) - 1
 	}
-	g := &v.inboundPeers[i]
-	g.replyDue = g.repliedAt == 0 || v.now.Sub(g.repliedAt) >= minHeartbeatInterval/2
+	p := &v.inboundPeers[i]
+	p.replyDue = p.repliedAt == 0 || v.now.Sub(p.repliedAt) >= minHeartbeatInterval/2
 }
 
 // sendReplies sends replies to inbound peers, responses to requests for records,
 // and the pending request for a complete view.
 func (v *View) sendReplies(send sendFunc) {
 	for i := range v.inboundPeers {
-		g := &v.inboundPeers[i]
-		if !g.replyDue || v.linkIndex(g.id) >= 0 {
+		p := &v.inboundPeers[i]
+		if !p.replyDue || v.linkIndex(p.id) >= 0 {
 			continue
 		}
-		g.replyDue, g.repliedAt = false, v.now
+		p.replyDue, p.repliedAt = false, v.now
 		v.updateBudget -= heartbeatBytes + frameOverheadBytes
-		v.sendProbe(g.id, replySeq, send)
+		v.sendProbe(p.id, replySeq, send)
 	}
 	if v.fullRequestTo != "" {
 		v.sendDelta(v.fullRequestTo, []peerwire.Member{v.self.Member}, true, send)
@@ -272,13 +278,13 @@
 		v.sendDelta(v.latestChangesTo, v.latestChanges(), false, send)
 		v.latestChangesTo = ""
 	}
-	keep := v.transfers[:0]
+	remaining := v.transfers[:0]
 	for _, s := range v.transfers {
 		if v.sendPart(&s, send) {
-			keep = append(keep, s)
+			remaining = append(remaining, s)
 		}
 	}
-	v.transfers = keep
+	v.transfers = remaining
 }
 
 // sendProbe sends a heartbeat to an instance that is not a neighbour. It carries
--- a/internal/member/traffic_test.go
+++ b/internal/member/traffic_test.go
@@ -22,16 +22,16 @@
 		s.setAllServing()
 		s.run(5 * time.Second)
 		s.assertAgreement(t)
-		mean, greatest := s.rates(5 * time.Second)
+		mean, maximum := s.rates(5 * time.Second)
 		s.nodes[instanceID(1)].dead = true
 		s.run(9 * time.Second)
 		s.assertAgreement(t)
 		s.start(instanceID(1), 2)
-		changed, _ := s.rates(12 * time.Second)
+		withRestart, _ := s.rates(12 * time.Second)
 		s.assertAgreement(t)
 		t.Logf("%d instances: without changes mean %.0f B/s, maximum %.0f B/s; with a restart mean %.0f B/s",
-			size, mean, greatest, changed)
-		assert.Assert(t, greatest <= 2000 && changed <= 2000, "%d instances", size)
+			size, mean, maximum, withRestart)
+		assert.Assert(t, maximum <= 2000 && withRestart <= 2000, "%d instances", size)
 	}
 }
 
@@ -46,9 +46,9 @@
 		s.startIn(seed.ID, 1, seed.DataCentre, s.seeds)
 	}
 	s.run(30 * time.Second)
-	mean, greatest := s.rates(10 * time.Second)
-	t.Logf("mean %.0f B/s, maximum %.0f B/s", mean, greatest)
-	assert.Assert(t, greatest <= 2000)
+	mean, maximum := s.rates(10 * time.Second)
+	t.Logf("mean %.0f B/s, maximum %.0f B/s", mean, maximum)
+	assert.Assert(t, maximum <= 2000)
 }
 
 // Guards against a cold start after which the views do not converge.
@@ -70,7 +70,7 @@
 	for _, size := range []int{5, 9, 24} {
 		s := newSim(size)
 		s.linkRate = 2048
-		cold := s.converge(30 * time.Second)
+		coldStart := s.converge(30 * time.Second)
 		s.assertAgreement(t)
 		s.nodes[instanceID(1)].dead = true
 		s.run(8 * time.Second)
@@ -82,7 +82,7 @@
 		for _, n := range s.nodes {
 			dropped += n.dropped
 		}
-		t.Logf("%d instances at 2 KB/s: views agree after %v, %d heartbeats dropped", size, cold, dropped)
+		t.Logf("%d instances at 2 KB/s: views agree after %v, %d heartbeats dropped", size, coldStart, dropped)
 		assert.Assert(t, dropped <= size/4)
 	}
 }
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// pauseThreshold is the time between two calls from which on the process is
-	// taken to have been paused.
+	// pauseThreshold is the time between two calls above which the process is
+	// assumed to have been paused.
 	pauseThreshold = time.Second
 	// suspicionTimeout is the time without refutation after which a suspected
 	// instance is declared gone.
@@ -76,6 +76,7 @@
 // as opposed to a planned stop. Only such a member may still be alive.
 func (r *record) declaredGone() bool { return r.gone() && r.Suspected }
 
+// successor is the incarnation that takes over the admissions of a stopped one.
 type successor struct {
 	incarnation ids.Incarnation
 	recordedAt  ids.Time
@@ -141,7 +142,7 @@
 }
 
 // Fire applies a lifecycle event of this instance. It returns false when the
-// current state does not react to it.
+// current state has no transition for it.
 func (v *View) Fire(e Event) bool {
 	actions, ok := v.lifecycle.Fire(e)
 	if !ok {
@@ -212,10 +213,12 @@
 // agreed with that of a peer or the wait for this has timed out.
 func (v *View) Synced() bool { return v.synced }
 
+// checkSyncTimeout marks the view as synced when the wait for a peer with the same
+// view has timed out.
 func (v *View) checkSyncTimeout() {
-	wait := v.now.Sub(v.refreshStartedAt)
-	arriving := v.now.Sub(v.partReceivedAt) < maxPartDelay && wait < joinReceivingTimeout
-	if wait >= joinTimeout && !arriving || wait >= joinAloneTimeout && !v.peerHeartbeatReceived {
+	waited := v.now.Sub(v.refreshStartedAt)
+	receiving := v.now.Sub(v.partReceivedAt) < maxPartDelay && waited < joinReceivingTimeout
+	if waited >= joinTimeout && !receiving || waited >= joinAloneTimeout && !v.peerHeartbeatReceived {
 		v.synced = true
 	}
 }
@@ -233,6 +236,7 @@
 	return v.serving
 }
 
+// updateServing computes serving again if it is stale.
 func (v *View) updateServing() {
 	if !v.servingStale {
 		return
--- a/internal/member/view_test.go
+++ b/internal/member/view_test.go
@@ -15,6 +15,7 @@
 // A fixed seed keeps the normal run repeatable; -rapid.seed overrides it.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
+// newSettledSim returns a simulation of n instances whose views have converged.
 func newSettledSim(n int) *sim {
 	s := newSim(n)
 	s.converge(30 * time.Second)
@@ -44,7 +45,8 @@
 }
 
 // Guards against a restarted process with an unchanged incarnation whose records
-// are ignored because its counter is lower than before.
+// are ignored because its counter is lower than before, and against a restart
+// with a lower incarnation that is not reported.
 func TestRestartWithSameIncarnation(t *testing.T) {
 	s := newSettledSim(5)
 	s.start(instanceID(1), 1)
@@ -104,10 +106,10 @@
 // changing the serving list although both instances are alive and reachable from
 // the others.
 func TestCutLinks(t *testing.T) {
-	for _, both := range []bool{false, true} {
+	for _, bothDirections := range []bool{false, true} {
 		s := newSettledSim(5)
 		s.isCut = func(from, to ids.Instance) bool {
-			return from == instanceID(0) && to == instanceID(1) || both && from == instanceID(1) && to == instanceID(0)
+			return from == instanceID(0) && to == instanceID(1) || bothDirections && from == instanceID(1) && to == instanceID(0)
 		}
 		s.run(2 * time.Second)
 		s.assertAgreement(t)
@@ -127,8 +129,8 @@
 		for _, length := range []time.Duration{7 * time.Second, 400 * time.Second} {
 			s := newSettledSim(size)
 			s.assertAgreement(t)
-			left := func(id ids.Instance) bool { return id < instanceID(size/2) }
-			s.isCut = func(a, b ids.Instance) bool { return left(a) != left(b) }
+			inFirstHalf := func(id ids.Instance) bool { return id < instanceID(size/2) }
+			s.isCut = func(a, b ids.Instance) bool { return inFirstHalf(a) != inFirstHalf(b) }
 			s.run(length)
 			assert.Equal(t, len(s.nodes[instanceID(0)].view.Serving()), size/2)
 			s.isCut = nil
@@ -171,19 +173,19 @@
 	for _, id := range []ids.Instance{"x", "y", "z"} {
 		s.startIn(id, 1, "surat", seeds)
 	}
-	crossed := map[ids.Instance]int{}
+	sentAcross := map[ids.Instance]int{}
 	s.isCut = func(from, to ids.Instance) bool {
 		if (from >= "x") != (to >= "x") {
-			crossed[from]++
+			sentAcross[from]++
 		}
 		return from == "x" || to == "x"
 	}
 	s.run(30 * time.Second)
 	assert.Equal(t, len(s.nodes[instanceID(0)].view.Serving()), 3)
 	assert.Equal(t, len(s.nodes["y"].view.Serving()), 2)
-	clear(crossed)
+	clear(sentAcross)
 	s.run(10 * time.Second)
-	assert.Assert(t, crossed["y"] >= 5 && crossed["z"] >= 5, "%v", crossed)
+	assert.Assert(t, sentAcross["y"] >= 5 && sentAcross["z"] >= 5, "%v", sentAcross)
 	assert.Equal(t, len(s.nodes[instanceID(1)].view.Members()), 3)
 }
 
@@ -223,7 +225,7 @@
 		s := newSettledSim(rapid.IntRange(3, 11).Draw(t, "size"))
 		cuts := map[[2]ids.Instance]bool{}
 		s.isCut = func(from, to ids.Instance) bool { return cuts[[2]ids.Instance{from, to}] }
-		run := uint64(1)
+		generation := uint64(1)
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
 			a, b := rapid.SampledFrom(s.nodeIDs).Draw(t, "a"), rapid.SampledFrom(s.nodeIDs).Draw(t, "b")
 			n := s.nodes[a]
@@ -239,8 +241,8 @@
 			case 4:
 				n.view.Fire(Resume)
 			case 5:
-				run++
-				s.start(a, run)
+				generation++
+				s.start(a, generation)
 			case 6:
 				for _, other := range s.nodeIDs {
 					cuts[[2]ids.Instance{a, other}], cuts[[2]ids.Instance{other, a}] = true, true
