--- a/internal/core/caller.go
+++ b/internal/core/caller.go
@@ -12,7 +12,7 @@
 )
 
 // Caller handles a datagram from a caller.
-func (c *Core) Caller(now ids.Time, e *CallerEvent, out *Effects) {
+func (c *Core) HandleCaller(now ids.Time, e *CallerEvent, out *Effects) {
 	c.begin(now, out)
 	if c.exited {
 		return
@@ -54,7 +54,7 @@
 	if a.m.Type == message.Confirmable { // ping, RFC 7252 section 4.3
 		e := c.emit(ToCaller)
 		e.Service, e.Endpoint = a.svc.name, a.caller
-		e.Out = message.Outgoing{Type: message.Reset, ID: a.m.ID}
+		e.Datagram = message.Outgoing{Type: message.Reset, ID: a.m.ID}
 		return
 	}
 	k := flow.AckKey{FlowKey: ids.FlowKey{Caller: a.caller, Service: a.svc.name}, ID: a.m.ID}
@@ -230,7 +230,7 @@
 			return
 		}
 		c.mint(a)
-	case !idempotent && known && c.accepting() && !c.admissions.Crowded():
+	case !idempotent && known && c.accepting() && !c.admissions.MintingSuspended():
 		c.grant(a, c.self.ID, c.self.Incarnation)
 	case !idempotent:
 		c.mint(a)
@@ -255,11 +255,11 @@
 func (c *Core) withToken(a *arrival) {
 	token, verdict := c.keys.Parse(a.m.Echo, a.svc.name)
 	switch {
-	case verdict == admission.Foreign:
+	case verdict == admission.NotIssued:
 		c.mint(a)
 	case verdict == admission.UnknownKey:
 		c.unknown(&a.exchange)
-	case c.admissions.Answers(token.Incarnation):
+	case c.admissions.AuthoritativeFor(token.Incarnation):
 		c.admit(a, token)
 	default:
 		m, ok := c.view.Lookup(token.Incarnation)
