--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -22,15 +22,17 @@
 	return []byte(b.String())
 }
 
+// benchStore returns a store with one profile and the given number of services.
 func benchStore(services int) *Store {
 	s := &Store{}
-	publish(s, "profile/standard", 1, profileDoc(100))
+	applyPublication(s, "profile/standard", 1, profileDoc(100))
 	for i := range services {
-		publish(s, fmt.Sprintf("service/s%04d", i), ids.Revision(i+2), benchDocument(i))
+		applyPublication(s, fmt.Sprintf("service/s%04d", i), ids.Revision(i+2), benchDocument(i))
 	}
 	return s
 }
 
+// perSize runs a benchmark for several numbers of services.
 func perSize(b *testing.B, run func(b *testing.B, services int)) {
 	for _, size := range []int{10, 100, 1000, 6800} {
 		b.Run(fmt.Sprintf("services=%d", size), func(b *testing.B) { run(b, size) })
@@ -44,7 +46,7 @@
 		r := s.Revision()
 		for b.Loop() {
 			r++
-			publish(s, "service/s0001", r, doc)
+			applyPublication(s, "service/s0001", r, doc)
 		}
 	})
 }
@@ -56,7 +58,7 @@
 		r := s.Revision()
 		for b.Loop() {
 			r++
-			publish(s, "profile/standard", r, profileDoc(int(r%1000)))
+			applyPublication(s, "profile/standard", r, profileDoc(int(r%1000)))
 		}
 	})
 }
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -107,6 +107,7 @@
 	return m.finish(upto), refused
 }
 
+// setUnconfirmed sets the unconfirmed flag of e and keeps unconfirmedCount.
 func (s *Store) setUnconfirmed(e *entry, unconfirmed bool) {
 	if e.unconfirmed != unconfirmed {
 		e.unconfirmed = unconfirmed
@@ -141,6 +142,7 @@
 	profiles map[string]bool
 }
 
+// entry returns the entry of key and adds it if it is new.
 func (m *merger) entry(key string) *entry {
 	if m.s.entries == nil {
 		m.s.entries = map[string]*entry{}
@@ -257,6 +259,8 @@
 	return true
 }
 
+// parseDocument parses the document at key. Either the profile or the service is
+// set, depending on the kind of document.
 func parseDocument(key string, value []byte) (*Profile, *Service, error) {
 	if name, ok := strings.CutPrefix(key, profilePrefix); ok {
 		p, err := ParseProfile(name, value)
@@ -269,19 +273,22 @@
 	return nil, nil, &DocumentError{key, []Fault{{Problem: "unknown kind of document, allowed: profile/<name>, service/<name>"}}}
 }
 
+// insertPositions adds the positions of e to the sorted positions.
 func (s *Store) insertPositions(e *entry) {
-	for _, at := range []ids.Revision{e.revision, e.refusedRevision} {
-		if at != 0 {
-			p := position{at, e}
+	for _, revision := range []ids.Revision{e.revision, e.refusedRevision} {
+		if revision != 0 {
+			p := position{revision, e}
 			i, _ := slices.BinarySearchFunc(s.positions, p, position.compare)
 			s.positions = slices.Insert(s.positions, i, p)
 		}
 	}
 }
 
+// removePositions removes the positions of e. It is called before its revisions
+// change.
 func (s *Store) removePositions(e *entry) {
-	for _, at := range []ids.Revision{e.revision, e.refusedRevision} {
-		if i, ok := slices.BinarySearchFunc(s.positions, position{at, e}, position.compare); ok {
+	for _, revision := range []ids.Revision{e.revision, e.refusedRevision} {
+		if i, ok := slices.BinarySearchFunc(s.positions, position{revision, e}, position.compare); ok {
 			s.positions = slices.Delete(s.positions, i, i+1)
 		}
 	}
@@ -333,9 +340,9 @@
 	return d
 }
 
-// Resolved returns a service with its profile. It returns false when the
-// service is unknown or deleted, or when its profile has never been known. The caller
-// must not change the result.
+// Resolved returns a service with its profile. It returns false when the service
+// is unknown or deleted, or when its profile has never been known. The caller must
+// not change the result.
 func (s *Store) Resolved(service ids.Service) (*Resolved, bool) {
 	r, ok := s.resolved[service]
 	return r, ok
--- a/internal/config/store_test.go
+++ b/internal/config/store_test.go
@@ -17,16 +17,19 @@
 // A fixed seed keeps the normal run repeatable; -rapid.seed overrides it.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
+// noLimit is a size that no delta in the tests reaches.
 const noLimit = 1 << 20
 
 func profileDoc(queueLength int) []byte {
 	return fmt.Appendf(nil, "[protect]\nqueue_length = %d\n", queueLength)
 }
+
 func serviceDoc(profile string) []byte {
 	return fmt.Appendf(nil, "port = 5683\nprofile = %q\n", profile)
 }
 
-func publish(s *Store, key string, r ids.Revision, value []byte) ([]ids.Service, []Refusal) {
+// applyPublication applies one publication read from the platform.
+func applyPublication(s *Store, key string, r ids.Revision, value []byte) ([]ids.Service, []Refusal) {
 	return s.ApplyPublications([]Publication{{key, r, value}}, r)
 }
 
@@ -34,35 +37,35 @@
 // against a service that is resolved without a profile or loses its profile.
 func TestStoreRules(t *testing.T) {
 	var s Store
-	changed, _ := publish(&s, "service/counter", 1, serviceDoc("standard"))
+	changed, _ := applyPublication(&s, "service/counter", 1, serviceDoc("standard"))
 	assert.Equal(t, len(changed), 0, "profile missing: not served")
-	changed, _ = publish(&s, "profile/standard", 2, profileDoc(100))
+	changed, _ = applyPublication(&s, "profile/standard", 2, profileDoc(100))
 	assert.DeepEqual(t, changed, []ids.Service{"counter"})
 	queueLength := func() int {
 		r, ok := s.Resolved("counter")
 		assert.Assert(t, ok)
 		return r.Profile.Protect.QueueLength
 	}
-	_, refused := publish(&s, "profile/standard", 3, []byte("[protect]\nqueue_length = -1\n"))
+	_, refused := applyPublication(&s, "profile/standard", 3, []byte("[protect]\nqueue_length = -1\n"))
 	assert.Equal(t, len(refused), 1)
 	assert.Equal(t, queueLength(), 100)
-	publish(&s, "profile/standard", 1, profileDoc(50))
+	applyPublication(&s, "profile/standard", 1, profileDoc(50))
 	assert.Equal(t, queueLength(), 100, "stale platform")
 	assert.Equal(t, s.Revision(), ids.Revision(3))
-	publish(&s, "profile/standard", 4, nil)
+	applyPublication(&s, "profile/standard", 4, nil)
 	assert.Equal(t, queueLength(), 100, "profile deleted while in use")
-	publish(&s, "service/counter", 5, serviceDoc("unknown"))
+	applyPublication(&s, "service/counter", 5, serviceDoc("unknown"))
 	assert.Equal(t, queueLength(), 100, "the new profile is missing")
 
-	changed, _ = publish(&s, "service/counter", 6, nil)
+	changed, _ = applyPublication(&s, "service/counter", 6, nil)
 	assert.DeepEqual(t, changed, []ids.Service{"counter"})
-	publish(&s, "service/counter", 5, serviceDoc("standard"))
+	applyPublication(&s, "service/counter", 5, serviceDoc("standard"))
 	s.ApplyDocuments([]peerwire.Document{{Key: "service/counter", Revision: 1, Value: serviceDoc("standard")}}, 1)
 	_, ok := s.Resolved("counter")
 	assert.Assert(t, !ok, "a deleted service came back")
-	_, refused = publish(&s, "servce/x", 7, nil)
+	_, refused = applyPublication(&s, "servce/x", 7, nil)
 	assert.Equal(t, len(refused), 0, "a deletion needs no valid document")
-	_, refused = publish(&s, "servce/x", 8, serviceDoc("x"))
+	_, refused = applyPublication(&s, "servce/x", 8, serviceDoc("x"))
 	assert.Equal(t, len(refused), 1)
 }
 
@@ -70,9 +73,9 @@
 // platform and never receives the last valid value, which its peers have.
 func TestMissedGoodValue(t *testing.T) {
 	var a, b Store
-	publish(&a, "profile/standard", 1, profileDoc(100))
-	publish(&a, "profile/standard", 2, []byte("x"))
-	publish(&b, "profile/standard", 2, []byte("x"))
+	applyPublication(&a, "profile/standard", 1, profileDoc(100))
+	applyPublication(&a, "profile/standard", 2, []byte("x"))
+	applyPublication(&b, "profile/standard", 2, []byte("x"))
 	assert.Assert(t, a.Delta(0, noLimit).Documents[0].Unconfirmed == false)
 	assert.Equal(t, a.Revision(), b.Revision())
 	after, ok := b.UnconfirmedAfter()
@@ -89,10 +92,10 @@
 func TestDeltaParts(t *testing.T) {
 	var a, b Store
 	for r := ids.Revision(1); r <= 50; r++ {
-		publish(&a, fmt.Sprintf("service/s%02d", r), r, serviceDoc("p"))
+		applyPublication(&a, fmt.Sprintf("service/s%02d", r), r, serviceDoc("p"))
 	}
 	large := append(serviceDoc("p"), "# "+strings.Repeat("x", 5000)...)
-	publish(&a, "service/large", 51, large)
+	applyPublication(&a, "service/large", 51, large)
 	for parts := 0; b.Revision() < a.Revision(); parts++ {
 		d := a.Delta(b.Revision(), 1000)
 		assert.Assert(t, len(d.Documents) == 1 || len(d.Documents) < 20)
--- a/internal/config/sync.go
+++ b/internal/config/sync.go
@@ -15,10 +15,10 @@
 	watcherCount = 2
 	watchRankKey = "config-watch"
 
-	peerTimeout      = time.Second      // for the response of a peer
-	readTimeout      = 5 * time.Second  // for the response to a read
-	watchTimeout     = 45 * time.Second // longer than a watch waits for a change, 30 s
-	minReadInterval  = 100 * time.Millisecond
+	peerTimeout      = time.Second            // for the response of a peer
+	readTimeout      = 5 * time.Second        // for the response to a read
+	watchTimeout     = 45 * time.Second       // longer than a watch waits for a change, 30 s
+	minReadInterval  = 100 * time.Millisecond // between a successful read or watch and the next one
 	joinReadInterval = 500 * time.Millisecond // between reads while joining
 	// staleReadInterval is the minimum time between reads of a platform that
 	// reports a lower revision than the peers; 2,500 instances cause at most
@@ -52,7 +52,7 @@
 	// platform without detecting it. 2,500 instances cause 33 reads a second, of
 	// 2,000 allowed.
 	pollInterval = time.Minute
-	pollJitter   = 30 * time.Second
+	pollJitter   = 30 * time.Second // spreads the reads of all instances
 	// Limits of the time until the next attempt after failed reads of the platform.
 	minBackoff = time.Second
 	maxBackoff = 30 * time.Second
@@ -112,6 +112,7 @@
 	watcher bool
 }
 
+// peer is the state kept for a peer that has sent a heartbeat recently.
 type peer struct {
 	revision        ids.Revision
 	lastHeartbeatAt ids.Time
@@ -136,6 +137,7 @@
 	y.startJoin(now)
 }
 
+// startJoin resets the state for a join that starts at now.
 func (y *Syncer) startJoin(now ids.Time) {
 	y.startedAt, y.lastHeartbeatAt, y.ready, y.readComplete = now, now, false, false
 	y.moreExpected = false
@@ -144,6 +146,7 @@
 	y.silenceLimit = silenceTimeout + y.jitter(silenceJitter)
 }
 
+// jitter returns a random duration from 0 up to, but excluding, d.
 func (y *Syncer) jitter(d time.Duration) time.Duration { return time.Duration(y.rng.Int64N(int64(d))) }
 
 // Ready reports whether the configuration is the newest one found, or
@@ -200,6 +203,7 @@
 	}
 }
 
+// backOff delays the next read or watch after a failed one.
 func (y *Syncer) backOff(now ids.Time) {
 	limit := maxBackoff
 	if y.watcher {
@@ -277,6 +281,7 @@
 	return r
 }
 
+// updateReady updates ready from the revision of the store.
 func (y *Syncer) updateReady(now ids.Time, ownRevision ids.Revision) {
 	newest := max(y.newestPeerRevision(), y.platformRevision)
 	waited := now.Sub(y.startedAt)
--- a/internal/config/sync_test.go
+++ b/internal/config/sync_test.go
@@ -32,14 +32,17 @@
 		silentPeers: map[ids.Instance]bool{}, requestCount: map[RequestKind]int{}, pageBytes: noLimit}
 }
 
+// storeAt returns a store with r publications of one profile.
 func storeAt(r ids.Revision) *Store {
 	s := &Store{}
 	for i := ids.Revision(1); i <= r; i++ {
-		publish(s, "profile/p", i, profileDoc(int(i)))
+		applyPublication(s, "profile/p", i, profileDoc(int(i)))
 	}
 	return s
 }
 
+// request counts a request of the syncer and queues the response for the next
+// step.
 func (f *syncHarness) request(r Request) {
 	f.requestCount[r.Kind]++
 	switch {
--- a/internal/config/tree.go
+++ b/internal/config/tree.go
@@ -95,6 +95,7 @@
 	return x, ok
 }
 
+// fault records a fault of key.
 func (t *table) fault(key, format string, a ...any) { t.faults.add(join(t.path, key), format, a...) }
 
 // reportUnknownKeys records a fault for every key that was not read.
@@ -106,6 +107,8 @@
 	}
 }
 
+// integer returns the integer at key, or defaultValue when the key is missing or
+// its value is not an integer from lo to hi.
 func (t *table) integer(key string, defaultValue, lo, hi int64) int64 {
 	x, ok := t.value(key)
 	if !ok {
@@ -123,10 +126,13 @@
 	return n
 }
 
+// milliseconds returns the integer at key as a number of milliseconds.
 func (t *table) milliseconds(key string, defaultValue, lo, hi time.Duration) time.Duration {
 	return time.Duration(t.integer(key, defaultValue.Milliseconds(), lo.Milliseconds(), hi.Milliseconds())) * time.Millisecond
 }
 
+// float returns the number at key, or defaultValue when the key is missing or its
+// value is not a number from lo to hi.
 func (t *table) float(key string, defaultValue, lo, hi float64) float64 {
 	x, ok := t.value(key)
 	if !ok {
@@ -148,6 +154,7 @@
 	return n
 }
 
+// boolean returns the boolean at key, or false when the key is missing.
 func (t *table) boolean(key string) bool {
 	x, ok := t.value(key)
 	b, isBool := x.(bool)
@@ -174,6 +181,7 @@
 	return s, ok
 }
 
+// stringList returns the list of strings at key.
 func (t *table) stringList(key, allowed string) []string {
 	x, ok := t.value(key)
 	if !ok {
