--- a/internal/member/cross.go
+++ b/internal/member/cross.go
@@ -15,7 +15,7 @@
 	// between two data centres.
 	crossLinkInstances = 2
 	// crossHeartbeatInterval is the heartbeat interval between data centres. With
-	// 5 data centres an instance has 16 such links, which cost about 0.8 KB/s.
+	// 5 data centres an instance has up to 16 such links, which cost about 0.8 KB/s.
 	crossHeartbeatInterval = 2 * time.Second
 	// crossTimeout is the time without a heartbeat after which another instance of
 	// the remote data centre is selected and the unresponsive one is not selected
