--- a/internal/eventqueue/eventqueue_test.go
+++ b/internal/eventqueue/eventqueue_test.go
@@ -10,18 +10,18 @@
 
 // Guards against events that run out of order, too early, or, at the same time,
 // in another order than that in which they were pushed.
-func TestOrder(t *testing.T) {
+func TestEventOrder(t *testing.T) {
 	var q Queue
 	var got []int
 	for i, at := range []ids.Time{5, 3, 5, 1, 3, 9} {
 		q.Push(at, func() { got = append(got, i) })
 	}
 	for {
-		_, do, ok := q.Next(5)
+		_, run, ok := q.Next(5)
 		if !ok {
 			break
 		}
-		do()
+		run()
 	}
 	assert.DeepEqual(t, got, []int{3, 1, 4, 0, 2})
 	at, _, ok := q.Next(9)
--- a/internal/link/bench_test.go
+++ b/internal/link/bench_test.go
@@ -22,15 +22,15 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkDataMessages sends relays of a 128-byte datagram over one data
-// lane. Both ends run in this process, so that the CPU time is that of
-// encoding, sending, receiving and decoding together.
+// BenchmarkDataMessages sends relay messages with a 128-byte datagram over one
+// data lane. Both ends run in this process, so the reported CPU time includes
+// encoding, sending, receiving and decoding.
 func BenchmarkDataMessages(b *testing.B) {
-	f := newFleet(b)
+	f := newTestFleet(b)
 	var received atomic.Int64
-	f.start("b", func(c *Config) { c.Receive = func(*peerwire.Message) { received.Add(1) } })
-	a, _ := f.start("a", nil)
-	m := relay("a", 0)
+	f.startManager("b", func(c *Config) { c.Receive = func(*peerwire.Message) { received.Add(1) } })
+	a, _ := f.startManager("a", nil)
+	m := relayMessage("a", 0)
 	m.Relay.Datagram = make([]byte, 128)
 	a.Send("b", m)
 	for received.Load() == 0 {
@@ -39,7 +39,7 @@
 	b.ReportAllocs()
 	start, want := cpuTime(b), received.Load()
 	for b.Loop() {
-		for !a.Send("b", m) { // the queue is full: the sender is the bottleneck
+		for !a.Send("b", m) { // the queue is full because the sender is the bottleneck
 			time.Sleep(50 * time.Microsecond)
 		}
 		want++
@@ -52,61 +52,64 @@
 	b.ReportMetric(float64((cpuTime(b)-start).Nanoseconds())/float64(b.N), "cpu-ns/message")
 }
 
-// openLinks opens a data lane from one manager to each of n peers.
-func openLinks(b *testing.B, n int, route func(address string) string) (perEnd int64) {
+// measureLinkMemory opens a data lane from one manager to each of n peers, and
+// returns the memory that one end of a connection uses. mapAddress returns the
+// address to dial for the address of a listener.
+func measureLinkMemory(b *testing.B, n int, mapAddress func(address string) string) (bytesPerEnd int64) {
 	b.StopTimer()
 	defer b.StartTimer()
-	f := newFleet(b)
+	f := newTestFleet(b)
 	credentials := f.credentials("a")
-	quiet := func(c *Config) { c.QueueCapacity, c.Receive = 1024, func(*peerwire.Message) {} }
+	discardMessages := func(c *Config) { c.QueueCapacity, c.Receive = 1024, func(*peerwire.Message) {} }
 	var receivers []*Manager
 	for i := range n {
-		m, _ := f.start(ids.Instance(fmt.Sprint("p", i)), quiet)
+		m, _ := f.startManager(ids.Instance(fmt.Sprint("p", i)), discardMessages)
 		receivers = append(receivers, m)
 		address, _ := f.address(m.config.Self)
-		f.set(m.config.Self, route(address))
+		f.setAddress(m.config.Self, mapAddress(address))
 	}
-	a, _ := f.start("hub", func(c *Config) { quiet(c); c.Self, c.Credentials = "a", credentials })
-	before := memory()
+	a, _ := f.startManager("hub", func(c *Config) { discardMessages(c); c.Self, c.Credentials = "a", credentials })
+	bytesBefore := memoryInUse()
 	for _, m := range receivers {
-		a.Send(m.config.Self, relay("a", 1))
+		a.Send(m.config.Self, relayMessage("a", 1))
 	}
 	for a.counts.sent[peerwire.Data].Value() < int64(n) {
 		time.Sleep(time.Millisecond)
 	}
 	time.Sleep(100 * time.Millisecond)
-	return (memory() - before) / int64(n) / 2
+	return (memoryInUse() - bytesBefore) / int64(n) / 2
 }
 
-// BenchmarkLinkMemory reports the heap and stack of one end of an open
-// connection, the default queue included.
+// BenchmarkLinkMemory reports the heap and stack memory of one end of an open
+// connection, including a queue of the default size.
 func BenchmarkLinkMemory(b *testing.B) {
 	for range b.N {
-		perEnd := openLinks(b, 50, func(address string) string { return address })
-		b.ReportMetric(float64(perEnd), "B/connection-end")
+		bytesPerEnd := measureLinkMemory(b, 50, func(address string) string { return address })
+		b.ReportMetric(float64(bytesPerEnd), "B/connection-end")
 	}
 }
 
-// BenchmarkDialBytes reports the bytes on the wire of opening a connection and
+// BenchmarkDialBytes reports the bytes on the wire for opening a connection and
 // sending one small message over it.
 func BenchmarkDialBytes(b *testing.B) {
 	for range b.N {
-		var up, down atomic.Int64
-		openLinks(b, 20, func(address string) string { return countingProxy(b, address, &up, &down) })
-		b.ReportMetric(float64(up.Load())/20, "B-sent/dial")
-		b.ReportMetric(float64(down.Load())/20, "B-received/dial")
+		var sent, received atomic.Int64
+		measureLinkMemory(b, 20, func(address string) string { return countingProxy(b, address, &sent, &received) })
+		b.ReportMetric(float64(sent.Load())/20, "B-sent/dial")
+		b.ReportMetric(float64(received.Load())/20, "B-received/dial")
 	}
 }
 
-func memory() int64 {
+func memoryInUse() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return int64(m.HeapInuse + m.StackInuse)
 }
 
-// countingProxy forwards TCP to target and counts the bytes of each direction.
-func countingProxy(b *testing.B, target string, up, down *atomic.Int64) string {
+// countingProxy forwards TCP connections to target and counts the bytes in each
+// direction.
+func countingProxy(b *testing.B, target string, sent, received *atomic.Int64) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(b, err)
 	b.Cleanup(func() { _ = l.Close() })
@@ -132,8 +135,8 @@
 			if err != nil {
 				return
 			}
-			go forward(in, out, up)
-			go forward(out, in, down)
+			go forward(in, out, sent)
+			go forward(out, in, received)
 		}
 	}()
 	return l.Addr().String()
--- a/internal/link/budget.go
+++ b/internal/link/budget.go
@@ -5,94 +5,98 @@
 	"time"
 )
 
-// overhead is what one message costs on the wire beyond its own bytes: a TLS
-// 1.3 record (5 header, 1 type, 16 tag) and a WebSocket header with mask (8).
-const overhead = 30
+// messageOverhead is the number of bytes on the wire that one message needs in
+// addition to its own: a TLS 1.3 record (5 header, 1 type, 16 tag) and a
+// WebSocket header with mask (8).
+const messageOverhead = 30
 
-// handshakeBytes is what the dialling side sends for one TLS handshake with a
-// client certificate and the WebSocket upgrade (BenchmarkDialBytes).
+// handshakeBytes is the number of bytes that the dialling side sends for one TLS
+// handshake with a client certificate and the WebSocket upgrade
+// (BenchmarkDialBytes).
 const handshakeBytes = 2100
 
-// burst is the time for which unused budget is saved up.
-const burst = 2 * time.Second
+// burstPeriod is the time for which unused budget accumulates.
+const burstPeriod = 2 * time.Second
 
-// Budget enforces the bytes a second that the control lanes of all links of
-// one instance may use together. Urgent messages have precedence, so that a
-// large configuration delta cannot delay heartbeats until peers suspect this
-// instance, or a small new document beyond the 5 s in which it is to take
-// effect: they may use the whole rate even while a bulk message is being paid
-// off. A bulk message is sent when nothing is owed, and its size is owed then.
+// Budget is a token bucket that limits the bytes per second of the control
+// lanes of all links of one instance together. Urgent messages have priority:
+// they may use the full rate even while the budget is in debt. Otherwise a large
+// configuration delta could delay heartbeats until peers suspect this instance,
+// or delay a small new document beyond the 5 s in which it must take effect. A
+// bulk message of any size may be sent while there is no debt; its size can
+// then put the budget into debt, which the refill pays off.
 type Budget struct {
-	mu     sync.Mutex
-	rate   float64 // bytes a second
-	urgent float64 // bytes that urgent messages may use now
-	total  float64 // bytes that bulk messages may use now; negative: owed
-	last   time.Time
+	mu              sync.Mutex
+	bytesPerSecond  float64
+	urgentAvailable float64 // bytes that urgent messages may use now
+	bulkAvailable   float64 // bytes that bulk messages may use now; negative when in debt
+	lastRefill      time.Time
 }
 
-// NewBudget returns a budget of rate bytes a second.
+// NewBudget returns a budget of rate bytes per second.
 func NewBudget(rate int) *Budget {
-	full := float64(rate) * burst.Seconds()
-	return &Budget{rate: float64(rate), urgent: full, total: full}
+	capacity := float64(rate) * burstPeriod.Seconds()
+	return &Budget{bytesPerSecond: float64(rate), urgentAvailable: capacity, bulkAvailable: capacity}
 }
 
-// urgentBytes is the size up to which any control message is urgent. The
-// profile of docs/examples with its envelope has 1,283 B.
-const urgentBytes = 1500
+// maxUrgentBytes is the largest size at which a control message is urgent
+// regardless of its kind. The profile in docs/examples takes 1,283 B with its
+// envelope.
+const maxUrgentBytes = 1500
 
-// Take asks to send a control message of size bytes at now. When it may not
-// be sent yet, wait is the time after which to ask again.
+// Take reserves budget for a control message of size bytes at time now. If the
+// message may not be sent yet, ok is false and the caller should retry after
+// wait.
 func (b *Budget) Take(now time.Time, size int, urgent bool) (wait time.Duration, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.refill(now)
-	cost := float64(size + overhead)
-	have := b.total
+	cost := float64(size + messageOverhead)
+	available := b.bulkAvailable
 	if urgent {
-		have = b.urgent - cost
+		available = b.urgentAvailable - cost
 	}
-	if have < 0 {
-		return time.Duration(-have / b.rate * float64(time.Second)), false
+	if available < 0 {
+		return time.Duration(-available / b.bytesPerSecond * float64(time.Second)), false
 	}
-	b.total -= cost
+	b.bulkAvailable -= cost
 	if urgent {
-		b.urgent -= cost
+		b.urgentAvailable -= cost
 	}
 	return 0, true
 }
 
-// Charge records size bytes that were sent without asking.
+// Charge deducts size bytes that were sent without a call of Take.
 func (b *Budget) Charge(size int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.total -= float64(size)
+	b.bulkAvailable -= float64(size)
 }
 
 // Grant adds bytes that bulk messages may use at any time and that are not
-// refilled. An
-// instance that starts learns the complete view and configuration and tells
-// its own to others, far above its mean rate.
+// refilled. A starting instance needs them: it exchanges the complete
+// membership view and configuration with its peers, far above its mean rate.
 func (b *Budget) Grant(bytes int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.total += float64(bytes)
+	b.bulkAvailable += float64(bytes)
 }
 
 func (b *Budget) refill(now time.Time) {
-	if b.last.IsZero() || now.Before(b.last) {
-		b.last = now
+	if b.lastRefill.IsZero() || now.Before(b.lastRefill) {
+		b.lastRefill = now
 		return
 	}
-	gained := b.rate * now.Sub(b.last).Seconds()
-	full := b.rate * burst.Seconds()
-	b.urgent = min(b.urgent+gained, full)
-	b.total = min(b.total+gained, max(full, b.total))
-	b.last = now
+	gained := b.bytesPerSecond * now.Sub(b.lastRefill).Seconds()
+	capacity := b.bytesPerSecond * burstPeriod.Seconds()
+	b.urgentAvailable = min(b.urgentAvailable+gained, capacity)
+	b.bulkAvailable = min(b.bulkAvailable+gained, max(capacity, b.bulkAvailable))
+	b.lastRefill = now
 }
 
-// Owed returns the bytes that are still to be paid off.
+// Owed returns the debt of the budget in bytes, or 0.
 func (b *Budget) Owed() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return int(max(-b.total, 0))
+	return int(max(-b.bulkAvailable, 0))
 }
--- a/internal/link/lane.go
+++ b/internal/link/lane.go
@@ -18,73 +18,75 @@
 	"arbutusdock.example/arbutusdock/internal/peerwire"
 )
 
-type outgoing struct {
+type queuedMessage struct {
 	data        []byte
-	replaceable bool // a heartbeat: the next one replaces it
-	at          time.Time
+	replaceable bool // a heartbeat, which the next one replaces
+	queuedAt    time.Time
 }
 
-// conn is one WebSocket connection. Times are Unix nanoseconds.
-type conn struct {
-	ws       *websocket.Conn
-	dialled  bool
-	opened   time.Time
-	unheard  atomic.Int64 // first message sent since the last one received; 0 for none
-	activity atomic.Int64 // last message in either direction
+// connection is one WebSocket connection. The atomic times are Unix
+// nanoseconds.
+type connection struct {
+	ws              *websocket.Conn
+	dialled         bool
+	openedAt        time.Time
+	unansweredSince atomic.Int64 // time of the first message sent since the last one received; 0 if none
+	lastActivity    atomic.Int64 // time of the last message in either direction
 }
 
-// lane is one lane of the link to a peer: a queue and the goroutine that
-// sends from it over the present connection.
+// lane is one lane of the link to a peer: a queue, and the goroutine that sends
+// the queued messages over the current connection.
 type lane struct {
-	m     *Manager
-	key   laneKey
-	queue chan *outgoing // pointers: an empty queue of 1,024 entries takes 8 KB
+	manager *Manager
+	key     laneKey
+	queue   chan *queuedMessage // pointers: an empty queue of 1,024 entries takes 8 KB
 
 	mu   sync.Mutex
-	conn *conn
+	conn *connection
 
-	// Of the sender goroutine:
-	bulk    []*outgoing // control messages that wait for budget
-	backoff time.Duration
-	retryAt time.Time
+	// The fields below are used by the sender goroutine only.
+	bulkQueue []*queuedMessage // control messages that wait until the budget allows them
+	backoff   time.Duration
+	retryAt   time.Time
 }
 
-func (l *lane) current() *conn {
+func (l *lane) currentConnection() *connection {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.conn
 }
 
 // attach makes ws the connection of the lane and starts its reader. The newest
-// connection wins, since the older one may have gone silent; but when both
-// sides dial at the same time, both keep the connection that the smaller
-// instance id dialled, so that one remains.
+// connection replaces an older one, because the older one may no longer work.
+// When both sides dial at the same time, both keep the connection dialled by
+// the instance with the smaller ID, so that exactly one remains.
 func (l *lane) attach(ws *websocket.Conn, dialled bool) {
 	ws.SetReadLimit(peerwire.MaxMessage)
 	now := time.Now()
-	c := &conn{ws: ws, dialled: dialled, opened: now}
-	c.activity.Store(now.UnixNano())
-	if !l.m.spawn(func() { l.read(c) }) {
+	c := &connection{ws: ws, dialled: dialled, openedAt: now}
+	c.lastActivity.Store(now.UnixNano())
+	if !l.manager.startTask(func() { l.read(c) }) {
 		_ = ws.CloseNow()
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	spare := l.conn
-	preferred := dialled == (l.m.config.Self < l.key.peer)
-	if spare != nil && spare.dialled != dialled && !preferred && now.Sub(spare.opened) < simultaneous {
-		spare = c
+	redundant := l.conn
+	preferred := dialled == (l.manager.config.Self < l.key.peer)
+	if redundant != nil && redundant.dialled != dialled && !preferred && now.Sub(redundant.openedAt) < simultaneousDialWindow {
+		redundant = c
 	} else {
 		l.conn = c
 	}
-	if spare != nil {
-		// Messages under way on the spare connection still arrive.
-		time.AfterFunc(simultaneous, func() { _ = spare.ws.CloseNow() })
+	if redundant != nil {
+		// Delay the close so that messages in flight on the redundant connection
+		// still arrive.
+		time.AfterFunc(simultaneousDialWindow, func() { _ = redundant.ws.CloseNow() })
 	}
 }
 
-// drop closes c and detaches it.
-func (l *lane) drop(c *conn) {
+// closeConnection closes c and detaches it from the lane.
+func (l *lane) closeConnection(c *connection) {
 	if c == nil {
 		return
 	}
@@ -96,45 +98,45 @@
 	_ = c.ws.CloseNow()
 }
 
-func (l *lane) idle() time.Duration {
+func (l *lane) idleTimeout() time.Duration {
 	if l.key.lane == peerwire.Control {
-		return controlIdle
+		return controlIdleTimeout
 	}
-	return l.m.config.DataIdle
+	return l.manager.config.DataIdle
 }
 
-func (l *lane) silence() time.Duration {
+func (l *lane) silenceTimeout() time.Duration {
 	if l.key.lane == peerwire.Control {
-		return controlSilence
+		return controlSilenceTimeout
 	}
-	return dataSilence
+	return dataSilenceTimeout
 }
 
 // read delivers the messages of c until it fails.
-func (l *lane) read(c *conn) {
-	defer l.drop(c)
+func (l *lane) read(c *connection) {
+	defer l.closeConnection(c)
 	var buf bytes.Buffer
 	for {
-		kind, r, err := c.ws.Reader(l.m.ctx)
+		kind, r, err := c.ws.Reader(l.manager.ctx)
 		if err == nil {
 			buf.Reset()
 			_, err = io.Copy(&buf, r)
 		}
 		if err != nil {
-			l.m.config.Log.Debug("link-closed", "peer", l.key.peer, "lane", laneName(l.key.lane), "error", err)
+			l.manager.config.Log.Debug("link-closed", "peer", l.key.peer, "lane", laneName(l.key.lane), "error", err)
 			return
 		}
-		c.unheard.Store(0)
-		c.activity.Store(time.Now().UnixNano())
-		l.m.counts.received[l.key.lane].Add(1)
-		l.m.counts.receivedBytes[l.key.lane].Add(int64(buf.Len() + overhead))
+		c.unansweredSince.Store(0)
+		c.lastActivity.Store(time.Now().UnixNano())
+		l.manager.counts.received[l.key.lane].Add(1)
+		l.manager.counts.receivedBytes[l.key.lane].Add(int64(buf.Len() + messageOverhead))
 		if kind == websocket.MessageBinary {
 			l.deliver(buf.Bytes())
 		} else {
-			l.m.counts.malformed.Add(1)
+			l.manager.counts.malformed.Add(1)
 		}
 		if buf.Cap() > 64<<10 {
-			buf = bytes.Buffer{} // does not keep the memory of a rare large message
+			buf = bytes.Buffer{} // do not keep the memory of a rare large message
 		}
 	}
 }
@@ -142,121 +144,123 @@
 func (l *lane) deliver(data []byte) {
 	msg := new(peerwire.Message)
 	if err := peerwire.Decode(data, msg); err != nil || msg.Lane() != l.key.lane {
-		l.m.counts.malformed.Add(1)
-		l.m.config.Log.Debug("peer-message-malformed", "peer", l.key.peer, "error", err)
+		l.manager.counts.malformed.Add(1)
+		l.manager.config.Log.Debug("peer-message-malformed", "peer", l.key.peer, "error", err)
 		return
 	}
 	if msg.From != l.key.peer {
-		l.m.counts.impersonate.Add(1)
+		l.manager.counts.wrongSender.Add(1)
 		return
 	}
-	l.m.config.Receive(msg)
+	l.manager.config.Receive(msg)
 }
 
-// run sends the queued messages until the manager closes or the lane is idle.
+// run sends the queued messages until the manager is closed or the lane has been
+// idle for its idle timeout.
 func (l *lane) run() {
-	check := time.NewTicker(l.silence() / 2)
-	defer check.Stop()
-	last := time.Now()
+	checkTicker := time.NewTicker(l.silenceTimeout() / 2)
+	defer checkTicker.Stop()
+	lastDequeue := time.Now()
 	for {
-		var due <-chan time.Time
+		var bulkReady <-chan time.Time
 		if wait := l.sendBulk(); wait > 0 {
-			due = time.After(wait)
+			bulkReady = time.After(wait)
 		}
 		select {
-		case <-l.m.ctx.Done():
+		case <-l.manager.ctx.Done():
 			return
 		case out := <-l.queue:
-			last = time.Now()
-			l.take(out)
-		case <-due:
-		case <-check.C:
-			l.checkConn()
-			if time.Since(last) > l.idle() && len(l.bulk) == 0 && l.current() == nil && l.m.retire(l) {
+			lastDequeue = time.Now()
+			l.process(out)
+		case <-bulkReady:
+		case <-checkTicker.C:
+			l.checkConnection()
+			if time.Since(lastDequeue) > l.idleTimeout() && len(l.bulkQueue) == 0 && l.currentConnection() == nil && l.manager.removeIfIdle(l) {
 				return
 			}
 		}
 	}
 }
 
-// take sends out, or puts it behind the bulk messages that wait for budget. A
+// process sends out, or appends it to the bulk messages that wait for budget. A
 // heartbeat that exceeds the budget is dropped.
-func (l *lane) take(out *outgoing) {
+func (l *lane) process(out *queuedMessage) {
 	switch {
 	case l.key.lane == peerwire.Data:
 		l.send(out)
 		return
-	case out.replaceable || len(out.data) <= urgentBytes:
-		// The connection comes first: budget for a peer that cannot be reached
-		// would be wasted.
+	case out.replaceable || len(out.data) <= maxUrgentBytes:
+		// Connect before reserving budget, so that no budget is spent on a peer
+		// that cannot be reached.
 		if l.connect(out) == nil {
-			l.m.counts.stale.Add(1)
+			l.manager.counts.stale.Add(1)
 			return
 		}
-		if _, ok := l.m.budget.Take(time.Now(), len(out.data), true); ok {
+		if _, ok := l.manager.budget.Take(time.Now(), len(out.data), true); ok {
 			l.send(out)
 			return
 		}
 		if out.replaceable {
-			l.m.counts.overBudget.Add(1)
+			l.manager.counts.overBudget.Add(1)
 			return
 		}
 	}
-	if len(l.bulk) >= l.m.config.QueueCapacity {
-		l.m.counts.queueFull.Add(1)
+	if len(l.bulkQueue) >= l.manager.config.QueueCapacity {
+		l.manager.counts.queueFull.Add(1)
 		return
 	}
-	l.bulk = append(l.bulk, out)
+	l.bulkQueue = append(l.bulkQueue, out)
 }
 
-// sendBulk sends the bulk messages that the budget covers. When some are left
-// it returns the time after which to try again.
+// sendBulk sends the bulk messages that the budget allows. If some remain, it
+// returns the time after which to retry, otherwise 0.
 func (l *lane) sendBulk() time.Duration {
-	for len(l.bulk) > 0 {
-		out := l.bulk[0]
-		if wait, ok := l.m.budget.Take(time.Now(), len(out.data), false); !ok {
+	for len(l.bulkQueue) > 0 {
+		out := l.bulkQueue[0]
+		if wait, ok := l.manager.budget.Take(time.Now(), len(out.data), false); !ok {
 			return wait + time.Millisecond
 		}
-		l.bulk = l.bulk[1:]
-		out.at = time.Now() // its wait for budget does not make it stale
+		l.bulkQueue = l.bulkQueue[1:]
+		out.queuedAt = time.Now() // the time that it waited for budget does not count towards maxQueueTime
 		l.send(out)
 	}
-	l.bulk = nil
+	l.bulkQueue = nil
 	return 0
 }
 
-// checkConn closes a connection that is idle or has gone silent.
-func (l *lane) checkConn() {
-	c := l.current()
+// checkConnection closes the connection if it is idle, or if the peer has sent
+// nothing for the silence timeout and does not answer a ping.
+func (l *lane) checkConnection() {
+	c := l.currentConnection()
 	if c == nil {
 		return
 	}
-	if time.Since(time.Unix(0, c.activity.Load())) > l.idle() {
-		l.drop(c)
+	if time.Since(time.Unix(0, c.lastActivity.Load())) > l.idleTimeout() {
+		l.closeConnection(c)
 		return
 	}
-	unheard := c.unheard.Load()
-	if unheard == 0 || time.Since(time.Unix(0, unheard)) < l.silence() {
+	unansweredSince := c.unansweredSince.Load()
+	if unansweredSince == 0 || time.Since(time.Unix(0, unansweredSince)) < l.silenceTimeout() {
 		return
 	}
-	ctx, cancel := context.WithTimeout(l.m.ctx, l.silence())
+	ctx, cancel := context.WithTimeout(l.manager.ctx, l.silenceTimeout())
 	defer cancel()
 	if l.key.lane == peerwire.Control {
-		l.m.budget.Charge(overhead)
+		l.manager.budget.Charge(messageOverhead)
 	}
 	if err := c.ws.Ping(ctx); err != nil {
-		l.m.counts.silent.Add(1)
-		l.m.config.Log.Warn("link-silent", "peer", l.key.peer, "lane", laneName(l.key.lane), "error", err)
-		l.drop(c)
+		l.manager.counts.silentClosed.Add(1)
+		l.manager.config.Log.Warn("link-silent", "peer", l.key.peer, "lane", laneName(l.key.lane), "error", err)
+		l.closeConnection(c)
 		return
 	}
-	c.unheard.Store(0)
+	c.unansweredSince.Store(0)
 }
 
 // send writes out to the peer.
-func (l *lane) send(out *outgoing) {
-	// A connection that the peer closed meanwhile fails at the first write;
-	// the message is sent over a new one then.
+func (l *lane) send(out *queuedMessage) {
+	// If the peer has closed the connection, the first write fails and the
+	// message is sent over a new connection.
 	for range 2 {
 		c := l.connect(out)
 		if c == nil {
@@ -266,51 +270,51 @@
 			return
 		}
 	}
-	l.m.counts.stale.Add(1)
+	l.manager.counts.stale.Add(1)
 }
 
-func (l *lane) write(c *conn, data []byte) bool {
-	ctx, cancel := context.WithTimeout(l.m.ctx, writeTimeout)
+func (l *lane) write(c *connection, data []byte) bool {
+	ctx, cancel := context.WithTimeout(l.manager.ctx, writeTimeout)
 	defer cancel()
 	if err := c.ws.Write(ctx, websocket.MessageBinary, data); err != nil {
-		l.drop(c)
+		l.closeConnection(c)
 		return false
 	}
 	now := time.Now().UnixNano()
-	c.activity.Store(now)
-	c.unheard.CompareAndSwap(0, now)
-	l.m.counts.sent[l.key.lane].Add(1)
-	l.m.counts.sentBytes[l.key.lane].Add(int64(len(data) + overhead))
+	c.lastActivity.Store(now)
+	c.unansweredSince.CompareAndSwap(0, now)
+	l.manager.counts.sent[l.key.lane].Add(1)
+	l.manager.counts.sentBytes[l.key.lane].Add(int64(len(data) + messageOverhead))
 	return true
 }
 
-// connect returns the present connection or dials one. It returns nil when
-// the peer cannot be reached while out is fresh.
-func (l *lane) connect(out *outgoing) *conn {
+// connect returns the current connection or dials a new one. It returns nil if
+// the peer cannot be reached before out exceeds maxQueueTime.
+func (l *lane) connect(out *queuedMessage) *connection {
 	for {
-		if c := l.current(); c != nil {
+		if c := l.currentConnection(); c != nil {
 			return c
 		}
 		wait := time.Until(l.retryAt)
-		if time.Since(out.at)+max(wait, 0) > maxAge {
+		if time.Since(out.queuedAt)+max(wait, 0) > maxQueueTime {
 			return nil
 		}
 		if wait > 0 {
 			select {
 			case <-time.After(wait):
-			case <-l.m.ctx.Done():
+			case <-l.manager.ctx.Done():
 				return nil
 			}
-			continue // the peer may have dialled meanwhile
+			continue // the peer may have connected during the wait
 		}
 		if err := l.dial(); err != nil {
-			l.m.counts.dialFailures.Add(1)
+			l.manager.counts.dialFailures.Add(1)
 			level := slog.LevelDebug
-			if l.backoff == 0 { // the first of a series
+			if l.backoff == 0 { // the first failure in a row
 				level = slog.LevelWarn
 			}
-			l.m.config.Log.Log(l.m.ctx, level, "link-dial-failed", "peer", l.key.peer, "lane", laneName(l.key.lane), "error", err)
-			l.backoff = min(max(2*l.backoff, backoffMin), backoffMax)
+			l.manager.config.Log.Log(l.manager.ctx, level, "link-dial-failed", "peer", l.key.peer, "lane", laneName(l.key.lane), "error", err)
+			l.backoff = min(max(2*l.backoff, minBackoff), maxBackoff)
 			l.retryAt = time.Now().Add(jitter(l.backoff))
 			continue
 		}
@@ -319,25 +323,25 @@
 }
 
 func (l *lane) dial() error {
-	l.m.counts.dials.Add(1)
-	address, ok := l.m.config.LookupAddress(l.key.peer)
+	l.manager.counts.dials.Add(1)
+	address, ok := l.manager.config.LookupAddress(l.key.peer)
 	if !ok {
 		return eris.Errorf("dial link to %s: address unknown", l.key.peer)
 	}
-	ctx, cancel := context.WithTimeout(l.m.ctx, dialTimeout)
+	ctx, cancel := context.WithTimeout(l.manager.ctx, dialTimeout)
 	defer cancel()
 	dialer := &net.Dialer{}
-	if ip := l.m.config.LocalAddr; ip.IsValid() && !ip.IsUnspecified() {
+	if ip := l.manager.config.LocalAddr; ip.IsValid() && !ip.IsUnspecified() {
 		dialer.LocalAddr = net.TCPAddrFromAddrPort(netip.AddrPortFrom(ip, 0))
 	}
 	client := &http.Client{Transport: &http.Transport{
 		DialContext:         dialer.DialContext,
-		TLSClientConfig:     l.m.config.Credentials.client(l.key.peer),
+		TLSClientConfig:     l.manager.config.Credentials.clientConfig(l.key.peer),
 		TLSHandshakeTimeout: dialTimeout,
 		MaxIdleConns:        1,
 		DisableKeepAlives:   true,
 	}}
-	ws, _, err := websocket.Dial(ctx, "https://"+address+path+laneName(l.key.lane), &websocket.DialOptions{
+	ws, _, err := websocket.Dial(ctx, "https://"+address+pathPrefix+laneName(l.key.lane), &websocket.DialOptions{
 		HTTPClient:      client,
 		CompressionMode: websocket.CompressionDisabled,
 	})
@@ -345,7 +349,7 @@
 		return eris.Wrapf(err, "dial link to %s at %s", l.key.peer, address)
 	}
 	if l.key.lane == peerwire.Control {
-		l.m.budget.Charge(handshakeBytes)
+		l.manager.budget.Charge(handshakeBytes)
 	}
 	l.attach(ws, true)
 	return nil
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -1,8 +1,8 @@
-// Package link carries peer messages between instances over WebSocket with
-// mutual TLS 1.3. A link to a peer has two lanes with a connection each: the
-// control lane, whose bytes a second are limited, and the data lane, which is
-// opened on demand and closed when idle. Sending never blocks: each lane has a
-// bounded queue.
+// Package link transports peer messages between instances over WebSocket with
+// mutual TLS 1.3. A link to a peer consists of two lanes, each with its own
+// connection: the control lane, whose rate in bytes per second is limited, and
+// the data lane, which is opened on demand and closed when idle. Sending never
+// blocks, because each lane has a bounded queue.
 package link
 
 import (
@@ -25,49 +25,53 @@
 )
 
 const (
-	// dialTimeout covers TCP, TLS and WebSocket handshakes, three round trips,
-	// between regions and on a busy machine.
+	// dialTimeout covers the TCP, TLS and WebSocket handshakes (three round
+	// trips), also between regions and on a busy machine.
 	dialTimeout  = 2 * time.Second
 	writeTimeout = 1 * time.Second
-	// A connection that was written to but has delivered nothing for this
-	// long is probed with a ping, and closed when there is no pong within the
-	// same time. This detects connections that have gone silent. The probe of
-	// a control lane is rarer since it counts towards the budget.
-	dataSilence    = 500 * time.Millisecond
-	controlSilence = 1 * time.Second
-	// simultaneous is the time between two dials of one lane, one from each
-	// side, below which they count as simultaneous: a dial timeout.
-	simultaneous = dialTimeout
-	backoffMin   = 50 * time.Millisecond
-	backoffMax   = 2 * time.Second
-	// maxAge is the age above which a queued data message is dropped: the
-	// caller has retransmitted by then (ACK_TIMEOUT is 2 s, RFC 7252).
-	maxAge = 1 * time.Second
-	// controlIdle is the time after which an unused control lane is closed.
-	controlIdle = 2 * time.Minute
+	// If nothing has been received for this time after a write, the connection
+	// is probed with a ping, and closed when no pong arrives within the same
+	// time. This detects broken connections that were not closed. The control
+	// lane is probed less often because its probes count towards the budget.
+	dataSilenceTimeout    = 500 * time.Millisecond
+	controlSilenceTimeout = 1 * time.Second
+	// simultaneousDialWindow is the time between two dials of one lane, one from
+	// each side, below which they count as simultaneous. It equals the dial
+	// timeout.
+	simultaneousDialWindow = dialTimeout
+	minBackoff             = 50 * time.Millisecond
+	maxBackoff             = 2 * time.Second
+	// maxQueueTime is the time after which a queued message that could not be
+	// sent is dropped. It is below ACK_TIMEOUT, 2 s in RFC 7252, after which the
+	// caller retransmits a relayed request.
+	maxQueueTime = 1 * time.Second
+	// controlIdleTimeout is the time after which an unused control lane is
+	// closed.
+	controlIdleTimeout = 2 * time.Minute
 
-	path = "/v1/link/"
+	pathPrefix = "/v1/link/"
 )
 
-// Config of a Manager.
+// Config is the configuration of a Manager.
 type Config struct {
 	Self                  ids.Instance
-	LocalAddr             netip.Addr // from which links are dialled; unspecified: any
+	LocalAddr             netip.Addr // local address of outgoing connections; any address if invalid or unspecified
 	Credentials           Credentials
-	ControlBytesPerSecond int           // control bytes a second
-	StartupBytes          int           // control bytes beyond the budget after the start
-	QueueCapacity         int           // messages for one peer and lane
-	DataIdle              time.Duration // an unused data lane is closed after this
+	ControlBytesPerSecond int           // rate limit of all control lanes together
+	StartupBytes          int           // control bytes allowed in addition to the rate limit after the start
+	QueueCapacity         int           // queued messages per peer and lane
+	DataIdle              time.Duration // time after which an unused data lane is closed
 	Log                   *slog.Logger
 	Metrics               *telemetry.Registry
-	// Address returns where a peer listens, false when unknown.
+	// LookupAddress returns the address of a peer's link listener, or false if it
+	// is unknown.
 	LookupAddress func(ids.Instance) (string, bool)
-	// Receive takes a message from a peer. It is called from several
-	// goroutines and must not block.
+	// Receive is called with each message that a peer has sent. It is called
+	// from several goroutines and must not block.
 	Receive func(*peerwire.Message)
 }
 
-// Manager holds the links of one instance.
+// Manager manages the links of one instance to its peers.
 type Manager struct {
 	config Config
 	budget *Budget
@@ -90,37 +94,38 @@
 
 type counters struct {
 	sent, received, sentBytes, receivedBytes             [2]*expvar.Int // by lane
-	queueFull, stale, overBudget, malformed, impersonate *expvar.Int
-	dials, dialFailures, accepted, silent                *expvar.Int
+	queueFull, stale, overBudget, malformed, wrongSender *expvar.Int
+	dials, dialFailures, accepted, silentClosed          *expvar.Int
 
 	queuedBytes map[string]*expvar.Int // by kind of message
 }
 
-func newCounters(r *telemetry.Registry) counters {
+func newCounters(registry *telemetry.Registry) counters {
 	var c counters
-	for lane, name := range []string{"control", "data"} {
-		c.sent[lane] = r.Counter("link_" + name + "_sent_messages_total")
-		c.received[lane] = r.Counter("link_" + name + "_received_messages_total")
-		c.sentBytes[lane] = r.Counter("link_" + name + "_sent_bytes_total")
-		c.receivedBytes[lane] = r.Counter("link_" + name + "_received_bytes_total")
+	for lane, laneName := range []string{"control", "data"} {
+		c.sent[lane] = registry.Counter("link_" + laneName + "_sent_messages_total")
+		c.received[lane] = registry.Counter("link_" + laneName + "_received_messages_total")
+		c.sentBytes[lane] = registry.Counter("link_" + laneName + "_sent_bytes_total")
+		c.receivedBytes[lane] = registry.Counter("link_" + laneName + "_received_bytes_total")
 	}
 	c.queuedBytes = make(map[string]*expvar.Int, len(peerwire.Kinds))
 	for _, kind := range peerwire.Kinds {
-		c.queuedBytes[kind] = r.Counter("link_queued_" + kind + "_bytes_total")
+		c.queuedBytes[kind] = registry.Counter("link_queued_" + kind + "_bytes_total")
 	}
-	c.queueFull = r.Counter("link_queue_full_dropped_total")
-	c.stale = r.Counter("link_stale_dropped_total")
-	c.overBudget = r.Counter("link_control_budget_dropped_total")
-	c.malformed = r.Counter("link_malformed_dropped_total")
-	c.impersonate = r.Counter("link_wrong_sender_dropped_total")
-	c.dials = r.Counter("link_dials_total")
-	c.dialFailures = r.Counter("link_dial_failures_total")
-	c.accepted = r.Counter("link_accepted_total")
-	c.silent = r.Counter("link_silent_closed_total")
+	c.queueFull = registry.Counter("link_queue_full_dropped_total")
+	c.stale = registry.Counter("link_stale_dropped_total")
+	c.overBudget = registry.Counter("link_control_budget_dropped_total")
+	c.malformed = registry.Counter("link_malformed_dropped_total")
+	c.wrongSender = registry.Counter("link_wrong_sender_dropped_total")
+	c.dials = registry.Counter("link_dials_total")
+	c.dialFailures = registry.Counter("link_dial_failures_total")
+	c.accepted = registry.Counter("link_accepted_total")
+	c.silentClosed = registry.Counter("link_silent_closed_total")
 	return c
 }
 
-// New returns a manager that sends; Serve makes it accept links as well.
+// New returns a manager that dials links to its peers. It accepts links of peers
+// only after a call of Serve.
 func New(config Config) *Manager {
 	ctx, cancel := context.WithCancel(context.Background())
 	m := &Manager{
@@ -134,7 +139,7 @@
 	m.budget.Grant(config.StartupBytes)
 	m.server = &http.Server{
 		Handler:           http.HandlerFunc(m.accept),
-		TLSConfig:         config.Credentials.server(),
+		TLSConfig:         config.Credentials.serverConfig(),
 		ReadHeaderTimeout: dialTimeout,
 		MaxHeaderBytes:    8 << 10,
 		ErrorLog:          slog.NewLogLogger(config.Log.Handler(), slog.LevelDebug),
@@ -145,7 +150,7 @@
 	return m
 }
 
-// Serve accepts links on l until Close.
+// Serve accepts links on l until Close is called.
 func (m *Manager) Serve(l net.Listener) error {
 	err := m.server.ServeTLS(l, "", "")
 	if m.ctx.Err() != nil {
@@ -154,8 +159,8 @@
 	return eris.Wrapf(err, "serve links on %s", l.Addr())
 }
 
-// Send queues msg for a peer and reports whether it was accepted. It encodes
-// msg before it returns, so that the caller may reuse the message.
+// Send queues msg for a peer and reports whether it was queued. It encodes msg
+// before it returns, so that the caller may reuse msg.
 func (m *Manager) Send(to ids.Instance, msg *peerwire.Message) bool {
 	data, err := peerwire.Encode(nil, msg)
 	if err != nil {
@@ -170,7 +175,7 @@
 		return false
 	}
 	select {
-	case l.queue <- &outgoing{data: data, replaceable: msg.Heartbeat != nil, at: time.Now()}:
+	case l.queue <- &queuedMessage{data: data, replaceable: msg.Heartbeat != nil, queuedAt: time.Now()}:
 		m.counts.queuedBytes[msg.Kind()].Add(int64(len(data)))
 		return true
 	default:
@@ -179,39 +184,42 @@
 	}
 }
 
-// laneLocked returns the lane for key and starts its sender if it is new.
+// laneLocked returns the lane for key. It creates the lane and starts its sender
+// if necessary, and returns nil after Close. The caller must hold m.mu.
 func (m *Manager) laneLocked(key laneKey) *lane {
 	if m.closed {
 		return nil
 	}
 	l := m.lanes[key]
 	if l == nil {
-		l = &lane{m: m, key: key, queue: make(chan *outgoing, m.config.QueueCapacity)}
+		l = &lane{manager: m, key: key, queue: make(chan *queuedMessage, m.config.QueueCapacity)}
 		m.lanes[key] = l
 		m.tasks.Go(l.run)
 	}
 	return l
 }
 
-// retire removes an idle lane unless a message or connection has arrived.
-func (m *Manager) retire(l *lane) bool {
+// removeIfIdle removes lane l, unless a message was queued or a connection
+// attached since the caller found the lane idle. It reports whether it did.
+func (m *Manager) removeIfIdle(l *lane) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if len(l.queue) > 0 || l.current() != nil {
+	if len(l.queue) > 0 || l.currentConnection() != nil {
 		return false
 	}
 	delete(m.lanes, l.key)
 	return true
 }
 
-// spawn runs f in a goroutine that Close waits for, unless it is closed.
-func (m *Manager) spawn(f func()) bool {
+// startTask runs task in a goroutine that Close waits for. It returns false if
+// the manager is closed.
+func (m *Manager) startTask(task func()) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.closed {
 		return false
 	}
-	m.tasks.Go(f)
+	m.tasks.Go(task)
 	return true
 }
 
@@ -221,26 +229,27 @@
 	defer m.mu.Unlock()
 	open := 0
 	for _, l := range m.lanes {
-		if l.current() != nil {
+		if l.currentConnection() != nil {
 			open++
 		}
 	}
 	return open
 }
 
-// accept serves the handshake of a peer. TLS has verified its certificate.
+// accept handles the WebSocket handshake of a peer, whose certificate the TLS
+// handshake has verified.
 func (m *Manager) accept(w http.ResponseWriter, r *http.Request) {
-	var kind peerwire.Lane
+	var lane peerwire.Lane
 	switch r.URL.Path {
-	case path + "control":
-		kind = peerwire.Control
-	case path + "data":
-		kind = peerwire.Data
+	case pathPrefix + "control":
+		lane = peerwire.Control
+	case pathPrefix + "data":
+		lane = peerwire.Data
 	default:
 		http.NotFound(w, r)
 		return
 	}
-	peer := certificateName(r.TLS.PeerCertificates[0])
+	peer := instanceID(r.TLS.PeerCertificates[0])
 	if peer == "" || peer == m.config.Self {
 		http.Error(w, "the certificate names no other instance", http.StatusForbidden)
 		return
@@ -251,7 +260,7 @@
 		return
 	}
 	m.mu.Lock()
-	l := m.laneLocked(laneKey{peer: peer, lane: kind})
+	l := m.laneLocked(laneKey{peer: peer, lane: lane})
 	m.mu.Unlock()
 	if l == nil {
 		_ = ws.CloseNow()
@@ -261,7 +270,7 @@
 	l.attach(ws, false)
 }
 
-// Close ends all links without waiting for queued messages.
+// Close closes all links. Messages that are still queued are lost.
 func (m *Manager) Close() {
 	m.mu.Lock()
 	m.closed = true
@@ -275,10 +284,10 @@
 	}
 	m.mu.Unlock()
 	for _, l := range lanes {
-		l.drop(l.current())
+		l.closeConnection(l.currentConnection())
 	}
 	m.tasks.Wait()
 }
 
-// jitter returns a duration between half of d and d.
+// jitter returns a random duration between d/2 and d.
 func jitter(d time.Duration) time.Duration { return d/2 + rand.N(d/2+1) }
--- a/internal/message/codec.go
+++ b/internal/message/codec.go
@@ -24,8 +24,8 @@
 	// for a request, in milliseconds (experimental range, RFC 7252 section 12.2).
 	Deadline coap.OptionID = 65000
 
-	headerBytes     = 4 // RFC 7252 section 3
-	maxOptionHeader = 5 // delta and length with their extensions, section 3.1
+	headerSize          = 4 // RFC 7252 section 3
+	maxOptionHeaderSize = 5 // delta and length with their extensions, section 3.1
 
 	defaultMaxAge = 60 // seconds, RFC 7252 section 5.10.5
 	maxObserve    = 1<<24 - 1
@@ -39,36 +39,36 @@
 
 // codec holds the buffers of one Decode or Encode call.
 type codec struct {
-	msg     coap.Message
-	options [MaxOptions + spareOptions]coap.Option
-	uints   [3][4]byte // values of Observe, Max-Age and Deadline
-	used    int        // options that may refer to the caller's memory
-	token   [8]byte
-	hash    xxhash.Digest
-	prefix  [6]byte
+	msg         coap.Message
+	options     [MaxOptions + maxAddedOptions]coap.Option
+	uintBuffers [3][4]byte // values of Observe, Max-Age and Deadline
+	usedOptions int        // options that may refer to the caller's memory
+	token       [8]byte
+	hash        xxhash.Digest
+	hashPrefix  [6]byte
 }
 
 // spareOptions is the room for the options that Encode may add to a template.
-const spareOptions = 4
+const maxAddedOptions = 4
 
-var codecs = sync.Pool{New: func() any { return new(codec) }}
+var codecPool = sync.Pool{New: func() any { return new(codec) }}
 
 func (c *codec) decode(datagram []byte) error {
 	c.msg.Options = c.options[:0:MaxOptions]
 	_, err := coder.DefaultCoder.Decode(datagram, &c.msg)
 	if err != nil {
-		c.used = MaxOptions // how far go-coap got is unknown
+		c.usedOptions = MaxOptions // how far go-coap got is unknown
 		return eris.Wrap(err, "decode CoAP")
 	}
-	c.used = len(c.msg.Options)
+	c.usedOptions = len(c.msg.Options)
 	return nil
 }
 
 // release returns c to the pool without references to the caller's memory.
 func (c *codec) release() {
-	clear(c.options[:c.used])
-	c.msg, c.used = coap.Message{}, 0
-	codecs.Put(c)
+	clear(c.options[:c.usedOptions])
+	c.msg, c.usedOptions = coap.Message{}, 0
+	codecPool.Put(c)
 }
 
 // Decode fills m with the view of datagram. On error m is not usable and the
@@ -77,7 +77,7 @@
 // 4.1), or more than MaxOptions options. Of an option that must not be
 // repeated the first occurrence counts (section 5.4.5).
 func Decode(datagram []byte, m *Message) error {
-	c := codecs.Get().(*codec)
+	c := codecPool.Get().(*codec)
 	defer c.release()
 	if err := c.decode(datagram); err != nil {
 		return err
@@ -97,30 +97,30 @@
 		MaxAge: defaultMaxAge,
 	}
 	m.Token.Len = uint8(copy(m.Token.Bytes[:], c.msg.Token))
-	c.view(m)
-	m.PathHash = c.pathHash()
-	m.Digest = c.digest()
+	c.readOptions(m)
+	m.PathHash = c.hashPath()
+	m.Digest = c.computeDigest()
 	return nil
 }
 
 // view copies the options that the decision logic reads into m.
-func (c *codec) view(m *Message) {
+func (c *codec) readOptions(m *Message) {
 	var hasMaxAge bool
 	for _, o := range c.msg.Options {
 		switch o.ID {
 		case coap.Echo:
-			setFirst(&m.Echo, o.Value)
+			setIfNil(&m.Echo, o.Value)
 		case coap.URIHost:
-			setFirst(&m.Host, o.Value)
+			setIfNil(&m.Host, o.Value)
 		case coap.ETag:
-			setFirst(&m.ETag, o.Value)
+			setIfNil(&m.ETag, o.Value)
 		case coap.Observe:
 			if !m.HasObserve {
-				m.HasObserve, m.Observe = true, uintValue(o.Value)
+				m.HasObserve, m.Observe = true, decodeUint(o.Value)
 			}
 		case coap.MaxAge:
 			if !hasMaxAge {
-				hasMaxAge, m.MaxAge = true, uintValue(o.Value)
+				hasMaxAge, m.MaxAge = true, decodeUint(o.Value)
 			}
 		case coap.Block1:
 			setBlock(&m.Block1, o.Value)
@@ -130,7 +130,7 @@
 	}
 }
 
-func setFirst(dst *[]byte, value []byte) {
+func setIfNil(dst *[]byte, value []byte) {
 	if *dst == nil {
 		*dst = value
 	}
@@ -142,11 +142,11 @@
 	if b.Present || len(value) > 3 {
 		return
 	}
-	v := uintValue(value)
+	v := decodeUint(value)
 	*b = Block{Present: true, Num: v >> 4, More: v&8 != 0, SZX: uint8(v & 7)}
 }
 
-func uintValue(value []byte) uint32 {
+func decodeUint(value []byte) uint32 {
 	var v uint32
 	for _, b := range value {
 		v = v<<8 | uint32(b)
@@ -156,10 +156,10 @@
 
 // digest hashes the code, every option except Echo, and the payload. Number
 // and length precede each value, so that no two messages hash the same bytes.
-func (c *codec) digest() uint64 {
+func (c *codec) computeDigest() uint64 {
 	c.hash.Reset()
-	c.prefix[0] = byte(c.msg.Code)
-	_, _ = c.hash.Write(c.prefix[:1])
+	c.hashPrefix[0] = byte(c.msg.Code)
+	_, _ = c.hash.Write(c.hashPrefix[:1])
 	for i := range c.msg.Options {
 		if o := &c.msg.Options[i]; o.ID != coap.Echo {
 			c.hashOption(o)
@@ -170,13 +170,13 @@
 }
 
 func (c *codec) hashOption(o *coap.Option) {
-	binary.BigEndian.PutUint16(c.prefix[:2], uint16(o.ID))
-	binary.BigEndian.PutUint32(c.prefix[2:], uint32(len(o.Value)))
-	_, _ = c.hash.Write(c.prefix[:])
+	binary.BigEndian.PutUint16(c.hashPrefix[:2], uint16(o.ID))
+	binary.BigEndian.PutUint32(c.hashPrefix[2:], uint32(len(o.Value)))
+	_, _ = c.hash.Write(c.hashPrefix[:])
 	_, _ = c.hash.Write(o.Value)
 }
 
-func (c *codec) pathHash() uint64 {
+func (c *codec) hashPath() uint64 {
 	c.hash.Reset()
 	for i := range c.msg.Options {
 		if o := &c.msg.Options[i]; o.ID == coap.URIPath {
@@ -189,7 +189,7 @@
 // HashPath returns the value that Decode gives Message.PathHash for the segments
 // of path, which are separated by slashes.
 func HashPath(path string) uint64 {
-	c := codecs.Get().(*codec)
+	c := codecPool.Get().(*codec)
 	defer c.release()
 	c.hash.Reset()
 	path = strings.Trim(path, "/")
@@ -207,7 +207,7 @@
 // RFC 7252 section 5.4.3 forbids are left out by go-coap. On error dst is
 // returned as it was.
 func Encode(dst []byte, o *Outgoing) ([]byte, error) {
-	c := codecs.Get().(*codec)
+	c := codecPool.Get().(*codec)
 	defer c.release()
 	if o.Template != nil {
 		if err := c.decode(o.Template); err != nil {
@@ -216,12 +216,12 @@
 	}
 	// Raises the capacity to include the spare options.
 	c.msg.Options = c.options[:len(c.msg.Options)]
-	c.used = len(c.msg.Options) + spareOptions
-	c.apply(o)
-	return c.append(dst)
+	c.usedOptions = len(c.msg.Options) + maxAddedOptions
+	c.applyOutgoing(o)
+	return c.appendTo(dst)
 }
 
-func (c *codec) apply(o *Outgoing) {
+func (c *codec) applyOutgoing(o *Outgoing) {
 	c.msg.Type, c.msg.MessageID = coap.Type(o.Type), int32(o.ID)
 	if o.Template == nil || o.Code != Empty {
 		c.msg.Code = codes.Code(o.Code)
@@ -253,7 +253,7 @@
 
 // setUint sets an option to v in the shortest form, RFC 7252 section 3.2.
 func (c *codec) setUint(slot int, id coap.OptionID, v uint32) {
-	value := c.uints[slot][:]
+	value := c.uintBuffers[slot][:]
 	binary.BigEndian.PutUint32(value, v)
 	for len(value) > 0 && value[0] == 0 {
 		value = value[1:]
@@ -263,16 +263,16 @@
 
 // bound returns an upper limit of the encoded size. It is cheaper than the
 // size that go-coap computes, which marshals all options.
-func (c *codec) bound() int {
-	size := headerBytes + len(c.msg.Token) + 1 + len(c.msg.Payload)
+func (c *codec) maxEncodedSize() int {
+	size := headerSize + len(c.msg.Token) + 1 + len(c.msg.Payload)
 	for i := range c.msg.Options {
-		size += maxOptionHeader + len(c.msg.Options[i].Value)
+		size += maxOptionHeaderSize + len(c.msg.Options[i].Value)
 	}
 	return size
 }
 
-func (c *codec) append(dst []byte) ([]byte, error) {
-	dst = slices.Grow(dst, c.bound())
+func (c *codec) appendTo(dst []byte) ([]byte, error) {
+	dst = slices.Grow(dst, c.maxEncodedSize())
 	start := len(dst)
 	size, err := coder.DefaultCoder.Encode(c.msg, dst[start:cap(dst)])
 	if err != nil {
--- a/internal/message/codec_test.go
+++ b/internal/message/codec_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func encodeWith(t testing.TB, code codes.Code, payload string, options ...coap.Option) []byte {
+func encodeRequest(t testing.TB, code codes.Code, payload string, options ...coap.Option) []byte {
 	t.Helper()
 	buf := make([]byte, 2048)
 	n, err := coder.DefaultCoder.Encode(coap.Message{
@@ -21,8 +21,8 @@
 	return buf[:n]
 }
 
-func claim(t testing.TB) []byte {
-	return encodeWith(t, codes.POST, "lot 7",
+func requestDatagram(t testing.TB) []byte {
+	return encodeRequest(t, codes.POST, "lot 7",
 		coap.Option{ID: coap.URIHost, Value: []byte("board.example")},
 		coap.Option{ID: coap.Observe, Value: []byte{9}},
 		coap.Option{ID: 9, Value: []byte("critical")}, // unassigned critical option
@@ -35,7 +35,7 @@
 // Guards against fields that are lost or misread between datagram and view.
 func TestDecodeView(t *testing.T) {
 	var m Message
-	assert.NilError(t, Decode(claim(t), &m))
+	assert.NilError(t, Decode(requestDatagram(t), &m))
 	assert.Equal(t, m.Type, Confirmable)
 	assert.Equal(t, m.Code, POST)
 	assert.Equal(t, m.ID, uint16(0x1234))
@@ -52,9 +52,9 @@
 func TestDigest(t *testing.T) {
 	var a, b, c Message
 	path := coap.Option{ID: coap.URIPath, Value: []byte("claims")}
-	assert.NilError(t, Decode(encodeWith(t, codes.POST, "lot 7", path), &a))
-	assert.NilError(t, Decode(encodeWith(t, codes.POST, "lot 7", path, coap.Option{ID: coap.Echo, Value: []byte("x")}), &b))
-	assert.NilError(t, Decode(encodeWith(t, codes.POST, "lot 8", path), &c))
+	assert.NilError(t, Decode(encodeRequest(t, codes.POST, "lot 7", path), &a))
+	assert.NilError(t, Decode(encodeRequest(t, codes.POST, "lot 7", path, coap.Option{ID: coap.Echo, Value: []byte("x")}), &b))
+	assert.NilError(t, Decode(encodeRequest(t, codes.POST, "lot 8", path), &c))
 	assert.Equal(t, a.Digest, b.Digest)
 	assert.Assert(t, a.Digest != c.Digest)
 }
@@ -62,7 +62,7 @@
 // Guards against options that are changed or lost on the way to a backend
 // server: unknown elective and critical ones pass through.
 func TestEncodeKeepsUnknownOptions(t *testing.T) {
-	out, err := Encode(nil, &Outgoing{Template: claim(t), Type: NonConfirmable, ID: 5,
+	out, err := Encode(nil, &Outgoing{Template: requestDatagram(t), Type: NonConfirmable, ID: 5,
 		Token: Token{Bytes: [8]byte{9}, Len: 1}, DropEcho: true, DropObserve: true, DeadlineMS: 300, SetMaxAge: true, MaxAge: 0})
 	assert.NilError(t, err)
 	m := coap.Message{Options: make(coap.Options, 0, 16)}
@@ -110,7 +110,7 @@
 
 // Guards against allocation for each datagram on the hot path.
 func TestDecodeEncodeDoNotAllocate(t *testing.T) {
-	datagram, dst := claim(t), make([]byte, 0, 2048)
+	datagram, dst := requestDatagram(t), make([]byte, 0, 2048)
 	var m Message
 	n := testing.AllocsPerRun(1000, func() {
 		_ = Decode(datagram, &m)
@@ -122,23 +122,23 @@
 // Checks that no input panics, and that what decodes also encodes to a
 // message with the same digest.
 func FuzzDecode(f *testing.F) {
-	f.Add(claim(f))
+	f.Add(requestDatagram(f))
 	f.Add([]byte{0x40, 0, 0, 1})
 	f.Fuzz(func(t *testing.T, d []byte) {
-		var m, again Message
+		var m, decodedAgain Message
 		if Decode(d, &m) != nil || m.Code == Empty {
 			return
 		}
 		out, err := Encode(nil, &Outgoing{Template: d, Type: m.Type, ID: m.ID, Token: m.Token})
 		assert.NilError(t, err)
-		assert.NilError(t, Decode(out, &again))
-		assert.Equal(t, again.Digest, m.Digest)
-		assert.Equal(t, again.PathHash, m.PathHash)
+		assert.NilError(t, Decode(out, &decodedAgain))
+		assert.Equal(t, decodedAgain.Digest, m.Digest)
+		assert.Equal(t, decodedAgain.PathHash, m.PathHash)
 	})
 }
 
 func BenchmarkDecode(b *testing.B) {
-	datagram := claim(b)
+	datagram := requestDatagram(b)
 	var m Message
 	b.ReportAllocs()
 	for b.Loop() {
@@ -147,7 +147,7 @@
 }
 
 func BenchmarkDecodeEncode(b *testing.B) {
-	datagram, dst := claim(b), make([]byte, 0, 2048)
+	datagram, dst := requestDatagram(b), make([]byte, 0, 2048)
 	var m Message
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/peerwire/codec.go
+++ b/internal/peerwire/codec.go
@@ -16,8 +16,8 @@
 	// messages, so that one of them does not hold the budget for seconds.
 	MaxControlPart = 64 << 10
 
-	maxNesting  = 6       // the deepest message, AdmissionMove, nests four levels
-	maxElements = 1 << 16 // entries of one array or map
+	maxNestingLevels    = 6       // the deepest message, AdmissionMove, nests four levels
+	maxContainerEntries = 1 << 16 // entries of one array or map
 )
 
 // Errors of Decode beyond those of the CBOR library.
@@ -28,19 +28,19 @@
 )
 
 var (
-	encMode = must(cbor.EncOptions{Sort: cbor.SortNone}.EncMode())
-	decMode = must(cbor.DecOptions{
+	encMode = mustMode(cbor.EncOptions{Sort: cbor.SortNone}.EncMode())
+	decMode = mustMode(cbor.DecOptions{
 		DupMapKey:        cbor.DupMapKeyEnforcedAPF,
-		MaxNestedLevels:  maxNesting,
-		MaxArrayElements: maxElements,
-		MaxMapPairs:      maxElements,
+		MaxNestedLevels:  maxNestingLevels,
+		MaxArrayElements: maxContainerEntries,
+		MaxMapPairs:      maxContainerEntries,
 		IndefLength:      cbor.IndefLengthForbidden,
 		TagsMd:           cbor.TagsForbidden,
 		UTF8:             cbor.UTF8RejectInvalid,
 	}.DecMode())
 )
 
-func must[T any](mode T, err error) T {
+func mustMode[T any](mode T, err error) T {
 	if err != nil {
 		panic(err) // the options above are constants
 	}
@@ -49,7 +49,7 @@
 
 // Encode appends m in CBOR to dst and returns the result.
 func Encode(dst []byte, m *Message) ([]byte, error) {
-	if n := m.bodies(); n != 1 {
+	if n := m.countBodies(); n != 1 {
 		return dst, eris.Errorf("encode peer message: %d bodies instead of one", n)
 	}
 	buf := bytes.NewBuffer(dst)
@@ -73,7 +73,7 @@
 	if err := decMode.Unmarshal(data, m); err != nil {
 		return eris.Wrap(err, "decode peer message")
 	}
-	if m.bodies() != 1 {
+	if m.countBodies() != 1 {
 		return ErrBodyCount
 	}
 	if m.From == "" {
@@ -82,7 +82,7 @@
 	return nil
 }
 
-func (m *Message) bodies() int {
+func (m *Message) countBodies() int {
 	n := 0
 	for _, present := range [...]bool{
 		m.Heartbeat != nil, m.MemberDelta != nil, m.ConfigRequest != nil, m.ConfigDelta != nil,
--- a/internal/peerwire/codec_test.go
+++ b/internal/peerwire/codec_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func samples() []Message {
+func sampleMessages() []Message {
 	return []Message{
 		{From: "a", Incarnation: 7, Heartbeat: &Heartbeat{Seq: 1, Clock: 2, Digest: 3, Revision: 4,
 			Updates: []Member{{ID: "b", Incarnation: 1, Lifecycle: Serving, PeerAddr: "127.0.0.1:1"}}}},
@@ -20,7 +20,7 @@
 
 // Guards against fields that do not survive the wire.
 func TestRoundTrip(t *testing.T) {
-	for _, m := range samples() {
+	for _, m := range sampleMessages() {
 		data, err := Encode([]byte("x"), &m)
 		assert.NilError(t, err)
 		var got Message
@@ -40,18 +40,18 @@
 
 // Guards against malformed and hostile input that is accepted.
 func TestDecodeRejects(t *testing.T) {
-	two, err := encMode.Marshal(Message{From: "a", SlotFree: &SlotFree{}, AckRoute: &AckRoute{}})
+	twoBodies, err := encMode.Marshal(Message{From: "a", SlotFree: &SlotFree{}, AckRoute: &AckRoute{}})
 	assert.NilError(t, err)
-	nobody, err := encMode.Marshal(Message{From: "a"})
+	noBody, err := encMode.Marshal(Message{From: "a"})
 	assert.NilError(t, err)
-	nameless, err := encMode.Marshal(Message{SlotFree: &SlotFree{}})
+	noSender, err := encMode.Marshal(Message{SlotFree: &SlotFree{}})
 	assert.NilError(t, err)
 	for name, data := range map[string][]byte{
 		"empty":             nil,
-		"two bodies":        two,
-		"no body":           nobody,
-		"no sender":         nameless,
-		"trailing bytes":    append(append([]byte{}, nobody...), 0),
+		"two bodies":        twoBodies,
+		"no body":           noBody,
+		"no sender":         noSender,
+		"trailing bytes":    append(append([]byte{}, noBody...), 0),
 		"deep nesting":      append(bytes.Repeat([]byte{0x81}, 40), 0),
 		"indefinite length": {0xbf, 0xff},
 		"huge array":        {0xa1, 0x0b, 0xa1, 0x01, 0x9b, 0, 0, 0, 1, 0, 0, 0, 0},
@@ -64,7 +64,7 @@
 
 // Checks that no input panics and that what decodes also encodes.
 func FuzzDecode(f *testing.F) {
-	for _, m := range samples() {
+	for _, m := range sampleMessages() {
 		data, err := Encode(nil, &m)
 		assert.NilError(f, err)
 		f.Add(data)
--- a/internal/ring/ring_test.go
+++ b/internal/ring/ring_test.go
@@ -29,11 +29,11 @@
 	}
 	done := make(chan struct{})
 	go func() { wg.Wait(); close(done) }()
-	taken := uint64(0)
+	received := uint64(0)
 	for {
 		select {
 		case <-r.Out():
-			taken++
+			received++
 			continue
 		case <-done:
 		}
@@ -41,7 +41,7 @@
 	}
 	s := r.Stats()
 	assert.Equal(t, s.Pushed+s.Dropped, uint64(8000))
-	assert.Equal(t, taken+uint64(s.Depth), s.Pushed)
+	assert.Equal(t, received+uint64(s.Depth), s.Pushed)
 }
 
 func BenchmarkPushPop(b *testing.B) {
--- a/internal/syncbuf/syncbuf.go
+++ b/internal/syncbuf/syncbuf.go
@@ -9,20 +9,20 @@
 
 // Buffer is a bytes.Buffer for concurrent use. The zero value is empty.
 type Buffer struct {
-	mu sync.Mutex
-	b  bytes.Buffer
+	mu  sync.Mutex
+	buf bytes.Buffer
 }
 
 // Write appends p. It always succeeds.
 func (b *Buffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.b.Write(p)
+	return b.buf.Write(p)
 }
 
 // String returns everything that was written.
 func (b *Buffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.b.String()
+	return b.buf.String()
 }
