--- a/internal/eventqueue/eventqueue.go
+++ b/internal/eventqueue/eventqueue.go
@@ -1,5 +1,5 @@
-// Package eventqueue is the queue of events of models and tests that run on a
-// virtual clock.
+// Package eventqueue provides an event queue for simulations and tests that run
+// on a virtual clock.
 package eventqueue
 
 import (
@@ -8,8 +8,9 @@
 	"arbutusdock.example/arbutusdock/internal/ids"
 )
 
-// Queue holds functions to call at virtual times. Those of the same time keep the
-// order in which they were pushed. The zero value is empty.
+// Queue holds functions, each with the virtual time at which to call it.
+// Functions with the same time are returned in the order in which they were
+// pushed. The zero value is an empty queue.
 type Queue struct {
 	events    eventHeap
 	pushCount uint64
@@ -21,13 +22,14 @@
 	run      func()
 }
 
-// Push adds a function to call at a time.
+// Push adds a function to call at the given time.
 func (q *Queue) Push(at ids.Time, run func()) {
 	q.pushCount++
 	heap.Push(&q.events, event{at, q.pushCount, run})
 }
 
-// Next removes the earliest event, if it is due at until or before.
+// Next removes the earliest event and returns it. ok is false if there is no
+// event at or before the time until.
 func (q *Queue) Next(until ids.Time) (at ids.Time, run func(), ok bool) {
 	if len(q.events) == 0 || q.events[0].at > until {
 		return 0, nil, false
@@ -36,7 +38,7 @@
 	return e.at, e.run, true
 }
 
-// events implements heap.Interface.
+// eventHeap implements heap.Interface.
 type eventHeap []event
 
 func (h eventHeap) Len() int { return len(h) }
@@ -49,7 +51,7 @@
 	old := *h
 	last := len(old) - 1
 	e := old[last]
-	old[last] = event{} // lets go of the function
+	old[last] = event{} // release the function for garbage collection
 	*h = old[:last]
 	return e
 }
--- a/internal/eventqueue/eventqueue_test.go
+++ b/internal/eventqueue/eventqueue_test.go
@@ -8,8 +8,8 @@
 	"arbutusdock.example/arbutusdock/internal/ids"
 )
 
-// Guards against events that run out of order, too early, or, at the same time,
-// in another order than that in which they were pushed.
+// Guards against events that are returned out of order or too early, and against
+// events with the same time that are not returned in the order of the pushes.
 func TestEventOrder(t *testing.T) {
 	var q Queue
 	var got []int
--- a/internal/link/lane.go
+++ b/internal/link/lane.go
@@ -39,7 +39,7 @@
 type lane struct {
 	manager *Manager
 	key     laneKey
-	queue   chan *queuedMessage // pointers: an empty queue of 1,024 entries takes 8 KB
+	queue   chan *queuedMessage // of pointers, so that an empty queue of 1,024 entries takes only 8 KB
 
 	mu   sync.Mutex
 	conn *connection
--- a/internal/message/codec.go
+++ b/internal/message/codec.go
@@ -14,24 +14,26 @@
 )
 
 const (
-	// MaxOptions bounds the options of one message. go-coap fails when its
-	// option slice is full; a message of Block-wise size has far fewer.
+	// MaxOptions is the largest number of options in one message. go-coap
+	// returns an error when its option slice is full. A message within the size
+	// of a Block-wise block has far fewer options.
 	MaxOptions = 128
-	// MaxDatagram is the largest datagram that is encoded, in bytes: the
-	// greatest UDP payload over IPv4.
+	// MaxDatagram is the largest datagram that Encode produces, in bytes: the
+	// maximum UDP payload over IPv4.
 	MaxDatagram = 65507
-	// Deadline is the number of the elective option that carries the time left
-	// for a request, in milliseconds (experimental range, RFC 7252 section 12.2).
+	// Deadline is the number of the elective option that contains the remaining
+	// time for a request, in milliseconds. It is in the experimental range (RFC
+	// 7252 section 12.2).
 	Deadline coap.OptionID = 65000
 
 	headerSize          = 4 // RFC 7252 section 3
-	maxOptionHeaderSize = 5 // delta and length with their extensions, section 3.1
+	maxOptionHeaderSize = 5 // option delta and length with their extensions, RFC 7252 section 3.1
 
 	defaultMaxAge = 60 // seconds, RFC 7252 section 5.10.5
 	maxObserve    = 1<<24 - 1
 )
 
-// Errors of Decode beyond those of go-coap.
+// Errors that Decode returns in addition to those of go-coap.
 var (
 	ErrEmptyWithContent = eris.New("decode CoAP: empty message carries a token, options or a payload")
 	ErrReservedCode     = eris.New("decode CoAP: code of a reserved class")
@@ -42,13 +44,13 @@
 	msg         coap.Message
 	options     [MaxOptions + maxAddedOptions]coap.Option
 	uintBuffers [3][4]byte // values of Observe, Max-Age and Deadline
-	usedOptions int        // options that may refer to the caller's memory
+	usedOptions int        // number of entries of options that may refer to memory of the caller
 	token       [8]byte
 	hash        xxhash.Digest
 	hashPrefix  [6]byte
 }
 
-// spareOptions is the room for the options that Encode may add to a template.
+// maxAddedOptions is the number of options that Encode may add to a template.
 const maxAddedOptions = 4
 
 var codecPool = sync.Pool{New: func() any { return new(codec) }}
@@ -57,25 +59,26 @@
 	c.msg.Options = c.options[:0:MaxOptions]
 	_, err := coder.DefaultCoder.Decode(datagram, &c.msg)
 	if err != nil {
-		c.usedOptions = MaxOptions // how far go-coap got is unknown
+		c.usedOptions = MaxOptions // go-coap does not report how many options it decoded
 		return eris.Wrap(err, "decode CoAP")
 	}
 	c.usedOptions = len(c.msg.Options)
 	return nil
 }
 
-// release returns c to the pool without references to the caller's memory.
+// release clears the references to the caller's memory and returns c to the
+// pool.
 func (c *codec) release() {
 	clear(c.options[:c.usedOptions])
 	c.msg, c.usedOptions = coap.Message{}, 0
 	codecPool.Put(c)
 }
 
-// Decode fills m with the view of datagram. On error m is not usable and the
-// datagram is malformed: a truncated header or option, a reserved version or
-// code class (RFC 7252 section 3), an empty message with content (section
-// 4.1), or more than MaxOptions options. Of an option that must not be
-// repeated the first occurrence counts (section 5.4.5).
+// Decode decodes datagram into m, which aliases it. On error m must not be used:
+// the datagram is malformed. It has a truncated header or option, a reserved
+// version or code class (RFC 7252 section 3), content in an empty message
+// (section 4.1), or more than MaxOptions options. Only the first occurrence of
+// an option that must not be repeated is used (section 5.4.5).
 func Decode(datagram []byte, m *Message) error {
 	c := codecPool.Get().(*codec)
 	defer c.release()
@@ -103,7 +106,7 @@
 	return nil
 }
 
-// view copies the options that the decision logic reads into m.
+// readOptions copies the options that the decision logic uses to m.
 func (c *codec) readOptions(m *Message) {
 	var hasMaxAge bool
 	for _, o := range c.msg.Options {
@@ -136,8 +139,9 @@
 	}
 }
 
-// setBlock decodes RFC 7959 section 2.2. A value of more than three bytes is
-// no valid block option and is left for the backend server to reject.
+// setBlock decodes the value of a Block option (RFC 7959 section 2.2). A value of
+// more than three bytes is invalid; it is ignored here, and the backend server
+// rejects it.
 func setBlock(b *Block, value []byte) {
 	if b.Present || len(value) > 3 {
 		return
@@ -154,8 +158,9 @@
 	return v
 }
 
-// digest hashes the code, every option except Echo, and the payload. Number
-// and length precede each value, so that no two messages hash the same bytes.
+// computeDigest hashes the code, all options except Echo, and the payload. The
+// number and length of each option precede its value, so that different
+// messages never produce the same input of the hash function.
 func (c *codec) computeDigest() uint64 {
 	c.hash.Reset()
 	c.hashPrefix[0] = byte(c.msg.Code)
@@ -202,19 +207,19 @@
 }
 
 // Encode appends the datagram that o describes to dst and returns the result.
-// All options of the template that o does not replace are kept, in order and
-// unchanged, critical ones included; only elective options whose length
-// RFC 7252 section 5.4.3 forbids are left out by go-coap. On error dst is
-// returned as it was.
+// All options of the template that o does not replace, including critical ones,
+// are kept unchanged and in order. The only exception are elective options with
+// a length that RFC 7252 section 5.4.3 forbids; go-coap omits them. On error,
+// Encode returns dst unchanged.
 func Encode(dst []byte, o *Outgoing) ([]byte, error) {
 	c := codecPool.Get().(*codec)
 	defer c.release()
 	if o.Template != nil {
 		if err := c.decode(o.Template); err != nil {
-			return dst, eris.Wrap(err, "encode CoAP: template")
+			return dst, eris.Wrap(err, "encode CoAP: invalid template")
 		}
 	}
-	// Raises the capacity to include the spare options.
+	// Raise the capacity by maxAddedOptions.
 	c.msg.Options = c.options[:len(c.msg.Options)]
 	c.usedOptions = len(c.msg.Options) + maxAddedOptions
 	c.applyOutgoing(o)
@@ -226,7 +231,7 @@
 	if o.Template == nil || o.Code != Empty {
 		c.msg.Code = codes.Code(o.Code)
 	}
-	c.token = o.Token.Bytes // a slice of o itself would force every Outgoing onto the heap
+	c.token = o.Token.Bytes // copied, because a slice of o.Token would move every Outgoing to the heap
 	c.msg.Token = c.token[:min(o.Token.Len, coap.MaxTokenSize)]
 	if o.Payload != nil {
 		c.msg.Payload = o.Payload
@@ -251,7 +256,8 @@
 	}
 }
 
-// setUint sets an option to v in the shortest form, RFC 7252 section 3.2.
+// setUint sets an option to the shortest encoding of v (RFC 7252 section 3.2).
+// slot selects the buffer that holds the value.
 func (c *codec) setUint(slot int, id coap.OptionID, v uint32) {
 	value := c.uintBuffers[slot][:]
 	binary.BigEndian.PutUint32(value, v)
@@ -261,8 +267,8 @@
 	c.msg.Options = c.msg.Options.Set(coap.Option{ID: id, Value: value})
 }
 
-// bound returns an upper limit of the encoded size. It is cheaper than the
-// size that go-coap computes, which marshals all options.
+// maxEncodedSize returns an upper bound of the encoded size. It is cheaper than
+// the size computation of go-coap, which marshals all options.
 func (c *codec) maxEncodedSize() int {
 	size := headerSize + len(c.msg.Token) + 1 + len(c.msg.Payload)
 	for i := range c.msg.Options {
--- a/internal/message/codec_test.go
+++ b/internal/message/codec_test.go
@@ -32,7 +32,7 @@
 		coap.Option{ID: 65002, Value: []byte("elective")})
 }
 
-// Guards against fields that are lost or misread between datagram and view.
+// Guards against fields of a datagram that are lost or decoded wrongly.
 func TestDecodeView(t *testing.T) {
 	var m Message
 	assert.NilError(t, Decode(requestDatagram(t), &m))
@@ -47,8 +47,8 @@
 	assert.Equal(t, m.PathHash, HashPath("/claims"))
 }
 
-// Guards against a retry with a token that looks like another request, and
-// against two requests that look like one.
+// Guards against a retry with an Echo option whose digest differs from that of
+// the original request, and against different requests with equal digests.
 func TestDigest(t *testing.T) {
 	var a, b, c Message
 	path := coap.Option{ID: coap.URIPath, Value: []byte("claims")}
@@ -59,8 +59,8 @@
 	assert.Assert(t, a.Digest != c.Digest)
 }
 
-// Guards against options that are changed or lost on the way to a backend
-// server: unknown elective and critical ones pass through.
+// Guards against options that Encode changes or drops. Unknown options, both
+// elective and critical, must reach the backend server unchanged.
 func TestEncodeKeepsUnknownOptions(t *testing.T) {
 	out, err := Encode(nil, &Outgoing{Template: requestDatagram(t), Type: NonConfirmable, ID: 5,
 		Token: Token{Bytes: [8]byte{9}, Len: 1}, DropEcho: true, DropObserve: true, DeadlineMS: 300, SetMaxAge: true, MaxAge: 0})
@@ -79,8 +79,8 @@
 	}
 }
 
-// Guards against an encoder that overwrites what precedes its output, and a
-// malformed template that ends up on the wire.
+// Guards against an encoder that overwrites the existing bytes of dst, and
+// against a malformed template that is encoded.
 func TestEncodeAppends(t *testing.T) {
 	out, err := Encode([]byte("ab"), &Outgoing{Type: Acknowledgement, ID: 7})
 	assert.NilError(t, err)
@@ -89,7 +89,7 @@
 	assert.Assert(t, err != nil && bytes.Equal(out, []byte("ab")))
 }
 
-// Guards against malformed datagrams that are taken for messages.
+// Guards against malformed datagrams that are accepted.
 func TestDecodeRejects(t *testing.T) {
 	for name, d := range map[string][]byte{
 		"nothing":                 nil,
@@ -108,7 +108,7 @@
 	}
 }
 
-// Guards against allocation for each datagram on the hot path.
+// Guards against memory allocations for each datagram on the hot path.
 func TestDecodeEncodeDoNotAllocate(t *testing.T) {
 	datagram, dst := requestDatagram(t), make([]byte, 0, 2048)
 	var m Message
@@ -119,8 +119,8 @@
 	assert.Assert(t, n < 1, "%v allocations", n)
 }
 
-// Checks that no input panics, and that what decodes also encodes to a
-// message with the same digest.
+// Checks that no input causes a panic, and that every message that can be decoded
+// can be encoded to a message with the same digest.
 func FuzzDecode(f *testing.F) {
 	f.Add(requestDatagram(f))
 	f.Add([]byte{0x40, 0, 0, 1})
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -1,6 +1,6 @@
-// Package message holds the decoded view of a CoAP message (RFC 7252) that the
-// decision logic works on, and converts it to and from datagrams with the
-// go-coap codec. The payload is carried but never interpreted.
+// Package message defines the decoded form of CoAP messages (RFC 7252) that the
+// decision logic uses, and decodes and encodes datagrams with the go-coap codec.
+// The payload is passed through and never interpreted.
 package message
 
 // Type is the CoAP message type, RFC 7252 section 3.
@@ -14,8 +14,8 @@
 	Reset
 )
 
-// Code is the CoAP code: class in the upper three bits, detail in the lower
-// five (RFC 7252 section 12.1).
+// Code is the CoAP code: the class in the upper three bits and the detail in the
+// lower five (RFC 7252 section 12.1).
 type Code uint8
 
 // Codes that the decision logic reads or writes.
@@ -42,8 +42,8 @@
 // IsResponse reports whether c is a response code.
 func (c Code) IsResponse() bool { return c >= 0x40 && c < 0xc0 }
 
-// Token is a CoAP token of at most eight bytes. It is comparable and holds no
-// pointer, so that tables keyed by it do not allocate.
+// Token is a CoAP token of at most eight bytes. It is comparable and contains no
+// pointer, so that its use as a map key does not allocate.
 type Token struct {
 	Bytes [8]byte
 	Len   uint8
@@ -57,9 +57,9 @@
 	SZX     uint8
 }
 
-// Message is the decoded view of one datagram. Raw, Echo, Host and ETag alias
-// the datagram; whoever keeps them beyond the call that delivered the message
-// copies them.
+// Message is the decoded form of one datagram. Raw, Echo, Host and ETag alias the
+// datagram. Code that keeps them after the call that it received the message
+// with must copy them.
 type Message struct {
 	Type     Type
 	Code     Code
@@ -72,7 +72,7 @@
 	PathHash uint64 // hash of the Uri-Path options
 	Digest   uint64 // hash of code, options except Echo, and payload
 	Observe  uint32
-	// HasObserve tells whether the Observe option is present.
+	// HasObserve is true when the Observe option is present.
 	HasObserve bool
 	MaxAge     uint32 // seconds; 60 when the option is absent (RFC 7252 section 5.10.5)
 	Block1     Block
--- a/internal/message/outgoing.go
+++ b/internal/message/outgoing.go
@@ -1,8 +1,8 @@
 package message
 
-// Outgoing describes a datagram to encode. With a Template the result is the
-// template message with the fields below replaced; without one it is built
-// from the fields alone.
+// Outgoing describes a datagram to encode. If Template is set, the result is the
+// template message with the fields below replaced. Otherwise the message is
+// built from the fields alone.
 type Outgoing struct {
 	Template []byte // encoded CoAP message to start from; nil for none
 	Type     Type
@@ -12,16 +12,17 @@
 	// DropEcho removes the Echo option of the template.
 	DropEcho bool
 	Echo     []byte // sets the Echo option unless nil
-	// SetObserve replaces the Observe option by Observe; DropObserve removes it.
+	// SetObserve sets the Observe option to Observe; DropObserve removes the
+	// option.
 	SetObserve  bool
 	DropObserve bool
 	Observe     uint32
-	// SetMaxAge replaces the Max-Age option by MaxAge, in seconds.
+	// SetMaxAge sets the Max-Age option to MaxAge, in seconds.
 	SetMaxAge bool
 	MaxAge    uint32
-	// DeadlineMS sets the Deadline option (number 65000, elective,
-	// experimental range of RFC 7252 section 12.2), the time left in
-	// milliseconds, unless 0.
+	// DeadlineMS, unless 0, is the value of the Deadline option (number 65000,
+	// elective, experimental range of RFC 7252 section 12.2): the remaining time
+	// in milliseconds.
 	DeadlineMS uint32
 	Payload    []byte // replaces the payload unless nil
 }
--- a/internal/peerwire/codec.go
+++ b/internal/peerwire/codec.go
@@ -9,21 +9,23 @@
 
 // Limits on peer messages.
 const (
-	// MaxMessage is the largest encoded message, in bytes. A document of 1 MB,
-	// the largest that the platform holds, fits with room for its envelope.
+	// MaxMessage is the largest size of an encoded message, in bytes. It leaves
+	// room for the envelope around a document of 1 MB, the largest that the
+	// platform stores.
 	MaxMessage = 1<<20 + 64<<10
-	// MaxControlPart is the size, in bytes, at which a sender splits control
-	// messages, so that one of them does not hold the budget for seconds.
+	// MaxControlPart is the size, in bytes, above which a sender splits a control
+	// message, so that a single message does not use up the budget for many
+	// seconds.
 	MaxControlPart = 64 << 10
 
-	maxNestingLevels    = 6       // the deepest message, AdmissionMove, nests four levels
+	maxNestingLevels    = 6       // the most deeply nested message, AdmissionMove, has four levels
 	maxContainerEntries = 1 << 16 // entries of one array or map
 )
 
-// Errors of Decode beyond those of the CBOR library.
+// Errors that Decode returns in addition to those of the CBOR library.
 var (
 	ErrTooLarge      = eris.New("decode peer message: exceeds the size limit")
-	ErrBodyCount     = eris.New("decode peer message: does not hold exactly one body")
+	ErrBodyCount     = eris.New("decode peer message: does not contain exactly one body")
 	ErrMissingSender = eris.New("decode peer message: sender missing")
 )
 
@@ -42,12 +44,13 @@
 
 func mustMode[T any](mode T, err error) T {
 	if err != nil {
-		panic(err) // the options above are constants
+		panic(err) // cannot happen: the options are constants
 	}
 	return mode
 }
 
-// Encode appends m in CBOR to dst and returns the result.
+// Encode appends the CBOR encoding of m to dst and returns the result. m must
+// have exactly one body.
 func Encode(dst []byte, m *Message) ([]byte, error) {
 	if n := m.countBodies(); n != 1 {
 		return dst, eris.Errorf("encode peer message: %d bodies instead of one", n)
@@ -62,9 +65,9 @@
 	return buf.Bytes(), nil
 }
 
-// Decode fills m from data, which holds one message and nothing else. Unknown
-// keys are ignored, so that a later release can add fields. m does not refer
-// to data afterwards.
+// Decode decodes data, which must contain exactly one message, into m. Unknown
+// keys are ignored, so that a later release can add fields. m does not alias
+// data afterwards.
 func Decode(data []byte, m *Message) error {
 	if len(data) > MaxMessage {
 		return ErrTooLarge
@@ -96,13 +99,13 @@
 	return n
 }
 
-// Kinds lists the results of Kind for messages with a body.
+// Kinds lists the values that Kind returns for messages with a body.
 var Kinds = [...]string{
 	"heartbeat", "member_delta", "config_request", "config_delta",
 	"relay", "slot_free", "ack_route", "feed_move", "feed_moved", "admission_move", "admission_moved",
 }
 
-// Kind returns the name of the body, for logs and metrics.
+// Kind returns the name of the body of m, for logs and metrics, or "none".
 func (m *Message) Kind() string {
 	switch {
 	case m.Heartbeat != nil:
--- a/internal/peerwire/codec_test.go
+++ b/internal/peerwire/codec_test.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// Guards against fields that do not survive the wire.
+// Guards against fields that are lost or changed by encoding and decoding.
 func TestRoundTrip(t *testing.T) {
 	for _, m := range sampleMessages() {
 		data, err := Encode([]byte("x"), &m)
@@ -29,7 +29,8 @@
 	}
 }
 
-// Guards against a deleted document that arrives as an empty one.
+// Guards against a deleted document, whose value is nil, that is decoded as an
+// empty document.
 func TestDeletedDocumentStaysNil(t *testing.T) {
 	data, err := Encode(nil, &Message{From: "a", ConfigDelta: &ConfigDelta{Documents: []Document{{Key: "k"}}}})
 	assert.NilError(t, err)
@@ -38,7 +39,7 @@
 	assert.Assert(t, got.ConfigDelta.Documents[0].Value == nil)
 }
 
-// Guards against malformed and hostile input that is accepted.
+// Guards against accepting malformed or malicious input.
 func TestDecodeRejects(t *testing.T) {
 	twoBodies, err := encMode.Marshal(Message{From: "a", SlotFree: &SlotFree{}, AckRoute: &AckRoute{}})
 	assert.NilError(t, err)
@@ -62,7 +63,8 @@
 	}
 }
 
-// Checks that no input panics and that what decodes also encodes.
+// Checks that no input causes a panic, and that every message that can be
+// decoded can be encoded again.
 func FuzzDecode(f *testing.F) {
 	for _, m := range sampleMessages() {
 		data, err := Encode(nil, &m)
--- a/internal/peerwire/peerwire.go
+++ b/internal/peerwire/peerwire.go
@@ -1,11 +1,12 @@
-// Package peerwire defines the typed messages between instances. They are
-// encoded as CBOR with integer keys; a message holds exactly one body.
+// Package peerwire defines the messages that instances exchange. They are
+// encoded as CBOR with integer keys. Each message has exactly one body.
 package peerwire
 
 import "arbutusdock.example/arbutusdock/internal/ids"
 
-// Lane separates control traffic, which has an enforced byte budget, from the
-// relayed traffic of callers.
+// Lane is one of the two channels of a link between instances. The lanes
+// separate control traffic, whose rate is limited, from relayed traffic of
+// callers.
 type Lane uint8
 
 // The two lanes of a link.
@@ -14,7 +15,8 @@
 	Data
 )
 
-// Message is the envelope of every peer message.
+// Message is the envelope of every peer message. From, Incarnation and Load are
+// its header; exactly one of the other fields, the bodies, is set.
 type Message struct {
 	From        ids.Instance    `cbor:"1,keyasint"`
 	Incarnation ids.Incarnation `cbor:"2,keyasint"`
@@ -33,7 +35,7 @@
 	AdmissionMoved *AdmissionMoved `cbor:"26,keyasint,omitempty"`
 }
 
-// Lane returns the lane on which m travels.
+// Lane returns the lane on which m is sent.
 func (m *Message) Lane() Lane {
 	if m.Heartbeat != nil || m.MemberDelta != nil || m.ConfigRequest != nil || m.ConfigDelta != nil {
 		return Control
@@ -41,25 +43,26 @@
 	return Data
 }
 
-// Load is piggybacked on data messages: the sender's state for one service.
+// Load is the sender's load for one service. It is piggybacked on data messages.
 type Load struct {
 	Service ids.Service `cbor:"1,keyasint"`
 	Free    uint16      `cbor:"2,keyasint"`           // owned slots that are free
 	Backlog uint16      `cbor:"3,keyasint"`           // queued requests
-	Refuse  bool        `cbor:"4,keyasint"`           // a new request would be refused now
+	Refuse  bool        `cbor:"4,keyasint"`           // the sender would refuse a new request now
 	Slots   uint16      `cbor:"5,keyasint,omitempty"` // usable owned slots
-	Long    uint16      `cbor:"6,keyasint,omitempty"` // owned slots that long requests hold
-	// LongKey is the predictor key of a long request that has just ended after
-	// LongDurationMS; both are 0 in most reports.
+	Long    uint16      `cbor:"6,keyasint,omitempty"` // owned slots that are occupied by long requests
+	// LongKey is the predictor key of a long request that has just ended, and
+	// LongDurationMS is its duration. Both are 0 in most reports.
 	LongKey        uint64 `cbor:"7,keyasint,omitempty"`
 	LongDurationMS uint32 `cbor:"8,keyasint,omitempty"`
 }
 
-// Lifecycle is the place of an instance in its life.
+// Lifecycle is the lifecycle state of an instance.
 type Lifecycle uint8
 
-// Lifecycle states of an instance, in the order in which they are passed,
-// except that a resumed instance returns from serving to joining.
+// Lifecycle states of an instance, in the order in which it passes through them.
+// The only exception is a resumed instance, which returns from Serving to
+// Joining.
 const (
 	Joining Lifecycle = iota
 	Serving
@@ -67,84 +70,87 @@
 	Gone
 )
 
-// Member is what is known of one instance. Between two records of the same
-// instance the higher (Incarnation, Counter) wins; at equal values Suspected
-// wins over trusted and the later Lifecycle wins.
+// Member is the membership record of one instance. Of two records of the same
+// instance, the one with the higher (Incarnation, Counter) takes precedence. If
+// these are equal, Suspected takes precedence over not suspected, and the later
+// Lifecycle over the earlier.
 type Member struct {
 	ID          ids.Instance    `cbor:"1,keyasint"`
 	Incarnation ids.Incarnation `cbor:"2,keyasint"`
-	Counter     uint32          `cbor:"3,keyasint"` // raised by the instance itself on each change of its own record
+	Counter     uint32          `cbor:"3,keyasint"` // incremented by the instance on each change of its own record
 	DataCentre  ids.DataCentre  `cbor:"4,keyasint"`
 	PeerAddr    string          `cbor:"5,keyasint"` // IP:port of its link listener
 	Lifecycle   Lifecycle       `cbor:"6,keyasint"`
 	Suspected   bool            `cbor:"7,keyasint,omitempty"`
-	// Successor answers for the admissions of this incarnation after its
-	// planned stop; zero when there is none.
+	// Successor is the incarnation that takes over the admission table of this
+	// one at its planned stop; 0 if there is none.
 	Successor ids.Incarnation `cbor:"8,keyasint,omitempty"`
 }
 
 // Heartbeat is sent on every control link at the heartbeat interval.
 type Heartbeat struct {
 	Seq      uint64       `cbor:"1,keyasint"`
-	Clock    ids.Time     `cbor:"2,keyasint"` // sender's clock when sent
-	Digest   uint64       `cbor:"3,keyasint"` // of the sender's membership view
+	Clock    ids.Time     `cbor:"2,keyasint"` // sender's clock at the time of sending
+	Digest   uint64       `cbor:"3,keyasint"` // hash of the sender's membership view
 	Revision ids.Revision `cbor:"4,keyasint"` // configuration revision in force at the sender
 	Updates  []Member     `cbor:"5,keyasint,omitempty"`
 }
 
-// MemberDelta carries a view after a digest mismatch. Reply asks the receiver
-// for its own in return.
+// MemberDelta contains membership records; it is sent after a digest mismatch.
+// Reply requests the receiver's records in return.
 type MemberDelta struct {
 	Members []Member `cbor:"1,keyasint"`
 	Reply   bool     `cbor:"2,keyasint,omitempty"`
 }
 
-// ConfigRequest asks for what changed after revision After.
+// ConfigRequest requests the documents that changed after revision After.
 type ConfigRequest struct {
 	After ids.Revision `cbor:"1,keyasint"`
 }
 
-// Document is the state of one configuration key: its last good value and, if
-// a later publication was refused, the revision of that one.
+// Document is the state of one configuration key: its last valid value and, if
+// a later publication was refused, the revision of that publication.
 type Document struct {
 	Key      string       `cbor:"1,keyasint"`
-	Revision ids.Revision `cbor:"2,keyasint"` // of Value; 0 when no good value is known
+	Revision ids.Revision `cbor:"2,keyasint"` // revision of Value; 0 when no valid value is known
 	Value    []byte       `cbor:"3,keyasint"` // nil when deleted at Revision
 	Refused  ids.Revision `cbor:"4,keyasint,omitempty"`
-	// Unconfirmed tells that the sender may have missed a good value between
-	// Revision and Refused; the receiver then asks other peers as well.
+	// Unconfirmed is true when the sender may have missed a valid value between
+	// Revision and Refused. The receiver then queries other peers as well.
 	Unconfirmed bool `cbor:"5,keyasint,omitempty"`
 }
 
-// ConfigDelta answers a ConfigRequest. More tells that further documents
-// follow after revision Upto.
+// ConfigDelta is the response to a ConfigRequest. More is true when the
+// response is incomplete; a request for the changes after revision Upto returns
+// the rest.
 type ConfigDelta struct {
 	Upto      ids.Revision `cbor:"1,keyasint"`
 	Documents []Document   `cbor:"2,keyasint"`
 	More      bool         `cbor:"3,keyasint,omitempty"`
 }
 
-// Relay hands a caller's datagram to another instance.
+// Relay forwards a caller's datagram to another instance.
 type Relay struct {
 	Service  ids.Service `cbor:"1,keyasint"`
 	Caller   string      `cbor:"2,keyasint"` // IP:port
 	Datagram []byte      `cbor:"3,keyasint"`
-	Hops     uint8       `cbor:"4,keyasint"` // relays so far, this one included
+	Hops     uint8       `cbor:"4,keyasint"` // number of relays so far, including this one
 	Trace    []byte      `cbor:"5,keyasint,omitempty"`
-	AgeMS    uint32      `cbor:"6,keyasint,omitempty"` // time that the request has waited in queues
-	Acked    bool        `cbor:"7,keyasint,omitempty"` // an empty ACK was sent
+	AgeMS    uint32      `cbor:"6,keyasint,omitempty"` // time that the request has spent in queues, in milliseconds
+	Acked    bool        `cbor:"7,keyasint,omitempty"` // an empty ACK was already sent to the caller
 }
 
-// SlotFree tells that the sender has Count free slots of a service and no
-// queue.
+// SlotFree announces that the sender has Count free slots of a service and no
+// queued requests for it.
 type SlotFree struct {
 	Service ids.Service `cbor:"1,keyasint"`
 	Count   uint16      `cbor:"2,keyasint"`
 }
 
-// AckRoute asks the home of a caller to relay the ACK or RST with message id
-// ID to the sender or, when Path is not 0, the follow-up blocks of the
-// Block-wise transfer of Path.
+// AckRoute requests that the home instance of a caller relay certain datagrams
+// of the caller to the sender of this message: the ACK or RST with message ID
+// ID or, when PathHash is not 0, the further blocks of the Block-wise transfer
+// of that path.
 type AckRoute struct {
 	Service  ids.Service `cbor:"1,keyasint"`
 	Caller   string      `cbor:"2,keyasint"`
@@ -152,19 +158,21 @@
 	PathHash uint64      `cbor:"4,keyasint,omitempty"` // message.Message.PathHash
 }
 
-// FeedMove hands one feed over to its new home.
+// FeedMove hands one feed (an observation, RFC 7641) over to its new home
+// instance.
 type FeedMove struct {
 	Service  ids.Service `cbor:"1,keyasint"`
 	Caller   string      `cbor:"2,keyasint"`
-	Token    []byte      `cbor:"3,keyasint"` // caller's token
+	Token    []byte      `cbor:"3,keyasint"` // caller's CoAP token
 	Request  []byte      `cbor:"4,keyasint"` // the registration datagram
 	Sequence uint32      `cbor:"5,keyasint"` // last Observe value sent to the caller
 	NextID   uint16      `cbor:"6,keyasint"`
 	Target   ids.Target  `cbor:"7,keyasint"` // backend server that serves the feed now
 }
 
-// FeedMoved tells the old home that the new one has received its first
-// notification and the old registration may end.
+// FeedMoved informs the old home instance of a feed that the new one has
+// received its first notification, so that the old registration may be
+// cancelled.
 type FeedMoved struct {
 	Service ids.Service `cbor:"1,keyasint"`
 	Caller  string      `cbor:"2,keyasint"`
@@ -182,18 +190,19 @@
 	AgeMS       uint32          `cbor:"6,keyasint"` // time since admission, in milliseconds
 }
 
-// AdmissionMove hands a part of an admission table over. The sender has
-// stopped admitting for Incarnations. Last marks the final part.
+// AdmissionMove transfers a part of an admission table. The sender has stopped
+// admitting requests for Incarnations. Last marks the final part.
 type AdmissionMove struct {
 	Incarnations []ids.Incarnation `cbor:"1,keyasint"`
 	Part         uint32            `cbor:"2,keyasint"`
 	Last         bool              `cbor:"3,keyasint,omitempty"`
 	Entries      []Admission       `cbor:"4,keyasint"`
-	// Clocks holds the clock of each of Incarnations when the part was sent.
+	// Clocks holds the clock of each of Incarnations at the time of sending.
 	Clocks []ids.Time `cbor:"5,keyasint"`
 }
 
-// AdmissionMoved acknowledges all parts of an AdmissionMove up to the last.
+// AdmissionMoved acknowledges all parts of an admission table that were sent by
+// AdmissionMove, including the last.
 type AdmissionMoved struct {
 	Incarnations []ids.Incarnation `cbor:"1,keyasint"`
 }
--- a/internal/ring/ring_test.go
+++ b/internal/ring/ring_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a full ring that blocks its producer or loses count.
+// Guards against a full ring that blocks the producer or counts wrongly.
 func TestFullRingDropsNewest(t *testing.T) {
 	r := New[int](2)
 	assert.Assert(t, r.Push(1) && r.Push(2) && !r.Push(3))
@@ -16,7 +16,8 @@
 	assert.Equal(t, <-r.Out(), 2)
 }
 
-// Guards against entries lost or counted twice with several producers.
+// Guards against entries that are lost or counted twice when several producers
+// push concurrently.
 func TestConcurrentProducers(t *testing.T) {
 	r := New[int](64)
 	var wg sync.WaitGroup
--- a/internal/syncbuf/syncbuf.go
+++ b/internal/syncbuf/syncbuf.go
@@ -1,5 +1,5 @@
-// Package syncbuf holds a buffer that a test reads while the code under test writes
-// its log to it.
+// Package syncbuf provides a buffer for tests, which can read it while the code
+// under test writes its log to it.
 package syncbuf
 
 import (
@@ -7,7 +7,8 @@
 	"sync"
 )
 
-// Buffer is a bytes.Buffer for concurrent use. The zero value is empty.
+// Buffer is a bytes.Buffer that is safe for concurrent use. The zero value is an
+// empty buffer.
 type Buffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -20,7 +21,7 @@
 	return b.buf.Write(p)
 }
 
-// String returns everything that was written.
+// String returns all data written so far.
 func (b *Buffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
