--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -1,7 +1,8 @@
-// Package follow keeps up with what operators and backend servers publish: it
-// reads everything once, then the changes, and again everything when the
-// history of the changes is lost. It bounds each read, so that a connection
-// that has gone silent delays news by a known time.
+// Package follow keeps a reader up to date with the configuration and the target
+// records that operators and backend servers publish. It performs one full read, then
+// reads the changes, and repeats the full read when the history of changes is lost.
+// Each read is bounded in time, so that an unresponsive connection delays an update by
+// a known time.
 package follow
 
 import (
@@ -17,113 +18,116 @@
 	"arbutusdock.example/arbutusdock/internal/passthrough"
 )
 
-// ErrHistoryLost is the error of a source that no longer has the changes after
-// the revision asked for, or too many to deliver.
+// ErrHistoryLost is returned by a source that no longer has the changes after the
+// requested revision, or has too many of them for one response.
 var ErrHistoryLost = eris.New("history of changes is lost")
 
 // Target is the record of a target or its removal.
 type Target struct {
 	Name     string `cbor:"1,keyasint,omitempty"`
-	Revision uint64 `cbor:"2,keyasint,omitempty"` // of its last change
+	Revision uint64 `cbor:"2,keyasint,omitempty"` // revision of its last change
 	Removed  bool   `cbor:"3,keyasint,omitempty"`
-	// Unreadable tells that the record of a removed target was replaced by
-	// something else; the target may be alive.
+	// Unreadable is set, together with Removed, when the entry of the target exists
+	// but cannot be decoded. The target may be alive.
 	Unreadable bool                     `cbor:"4,keyasint,omitempty"`
 	Record     passthrough.TargetRecord `cbor:"5,keyasint,omitempty"`
 }
 
-// InvalidEntry is an entry that could not be read.
+// InvalidEntry is a published entry that could not be decoded.
 type InvalidEntry struct {
 	Key      string
 	Revision uint64
 	Err      error
 }
 
-// Update is what one read returned.
+// Update is the result of one read.
 type Update struct {
-	Complete bool                `cbor:"1,keyasint,omitempty"` // everything that is published, not only changes
-	Revision uint64              `cbor:"2,keyasint,omitempty"` // up to which it is known
+	Complete bool                `cbor:"1,keyasint,omitempty"` // a full read, not only changes
+	Revision uint64              `cbor:"2,keyasint,omitempty"` // revision up to which the update is complete
 	Config   *passthrough.Config `cbor:"3,keyasint,omitempty"`
-	Targets  []*Target           `cbor:"4,keyasint,omitempty"` // in the order of their changes; shared, never changed
-	Invalid  []InvalidEntry      `cbor:"-"`                    // logged where it was read
-	// Age is the time since the source itself was known to be complete.
+	Targets  []*Target           `cbor:"4,keyasint,omitempty"` // in the order of their changes; shared, must not be modified
+	Invalid  []InvalidEntry      `cbor:"-"`                    // logged by the instance that read them
+	// Age is the time since the state of the source was last confirmed to be up to
+	// date.
 	Age time.Duration `cbor:"5,keyasint,omitempty"`
-	// More tells that the rest of the update follows; only its targets are set.
+	// More is set when further messages of the same update follow. Such a message
+	// contains only targets.
 	More bool `cbor:"8,keyasint,omitempty"`
-	// ConfigDelta is set in place of Config by a source that knows what the
-	// reader has. The reader's state turns it into Config.
+	// ConfigDelta is set instead of Config by a source that has the reader's version
+	// of the configuration. The reader computes Config from it.
 	ConfigDelta *ConfigDelta `cbor:"7,keyasint,omitempty"`
-	// AfterOutage is set by the Follower: the source answers for the first time
-	// after it failed.
+	// AfterOutage is set by the Follower on the first successful read after a failed
+	// one.
 	AfterOutage bool `cbor:"6,keyasint,omitempty"`
 }
 
-// ConfigDelta tells how a version of the configuration differs from an earlier
-// one, which need not be the one just before.
+// ConfigDelta is the difference between a version of the configuration and an earlier
+// one, which need not be the previous version.
 type ConfigDelta struct {
 	Version     uint64                 `cbor:"1,keyasint"`
-	Base        uint64                 `cbor:"6,keyasint"` // version from which it differs
+	Base        uint64                 `cbor:"6,keyasint"` // version to which the delta applies
 	IdleTimeout time.Duration          `cbor:"2,keyasint,omitempty"`
 	Health      map[ids.Service]string `cbor:"3,keyasint,omitempty"`
 	Routes      []passthrough.Route    `cbor:"4,keyasint,omitempty"` // new or changed
 	Removed     []passthrough.Endpoint `cbor:"5,keyasint,omitempty"`
 }
 
-// Source is where publications are read. Each call returns when timeout has passed
-// without a response, or when a response makes no progress.
+// Source provides the published configuration and target records. Each call fails when
+// no response begins within timeout, or when the transfer of a response stalls.
 type Source interface {
-	// ReadAll reads everything that is published.
+	// ReadAll reads the complete configuration and all target records.
 	ReadAll(ctx context.Context, timeout time.Duration) (Update, error)
-	// ReadChanges reads the changes after a revision and waits for one for at
-	// most wait. Its error is ErrHistoryLost when they are not available.
+	// ReadChanges reads the changes after a revision. If there are none, it waits for
+	// one for at most wait. The error is ErrHistoryLost when the changes are not
+	// available.
 	ReadChanges(ctx context.Context, after uint64, wait, timeout time.Duration) (Update, error)
 }
 
-// Timing of the reads.
+// Timing holds the timing parameters of the reads.
 type Timing struct {
-	Wait    time.Duration // for which a read of changes waits
-	Timeout time.Duration // allowed beyond Wait, and for a full read
-	// Interval is the least time between two reads of changes by a Paced source.
+	Wait    time.Duration // maximum time for which a read of changes waits for one
+	Timeout time.Duration // time allowed for a full read, or for a read of changes in addition to Wait
+	// Interval is the minimum time between two reads of changes by a Paced source.
 	Interval time.Duration
-	// RetryMin and RetryMax bound the pause after a failed read.
+	// RetryMin and RetryMax bound the delay before the retry of a failed read.
 	RetryMin, RetryMax time.Duration
 }
 
-// waitShare and slackShare are parts of the time within which a publication
-// must be in force. Their sum leaves a third for a new connection and a read.
+// waitShare and timeoutShare are fractions of the time within which a published change
+// must be in force. Together they leave a third for a new connection and a read.
 const (
-	waitShare  = 0.45
-	slackShare = 0.2
+	waitShare    = 0.45
+	timeoutShare = 0.2
 )
 
-// TimingFor returns the timing with which a publication is in force within
-// apply, also when the connection in use has gone silent.
+// TimingFor returns the timing with which a published change is in force within apply,
+// even if the connection in use has become unresponsive.
 func TimingFor(apply time.Duration) Timing {
 	return Timing{
 		Wait:     time.Duration(float64(apply) * waitShare),
-		Timeout:  time.Duration(float64(apply) * slackShare),
+		Timeout:  time.Duration(float64(apply) * timeoutShare),
 		Interval: 400 * time.Millisecond,
 		RetryMin: 100 * time.Millisecond,
 		RetryMax: 400 * time.Millisecond,
 	}
 }
 
-// Follower reads from a source until its context ends.
+// Follower reads from a source continuously and delivers the updates.
 type Follower struct {
-	source   Source
-	timing   Timing
-	deliver  func(Update)
-	log      *slog.Logger
-	revision uint64
-	synced   bool
-	failures int
-	since    time.Time // start of the present outage
-	seen     map[string]uint64
+	source      Source
+	timing      Timing
+	deliver     func(Update)
+	log         *slog.Logger
+	revision    uint64
+	synced      bool
+	failures    int
+	outageStart time.Time         // start of the current outage
+	revisions   map[string]uint64 // last delivered revision by target
 }
 
-// New returns a follower that passes each update to deliver, which may block.
+// New returns a follower that passes each update to deliver. deliver may block.
 func New(source Source, timing Timing, deliver func(Update), log *slog.Logger) *Follower {
-	return &Follower{source: source, timing: timing, deliver: deliver, log: log, seen: map[string]uint64{}}
+	return &Follower{source: source, timing: timing, deliver: deliver, log: log, revisions: map[string]uint64{}}
 }
 
 // Run reads until ctx ends.
@@ -134,10 +138,10 @@
 			return
 		}
 		if err != nil {
-			f.failed(ctx, err)
+			f.handleFailure(ctx, err)
 			continue
 		}
-		f.succeeded(&update)
+		f.handleUpdate(&update)
 	}
 }
 
@@ -147,59 +151,59 @@
 	}
 	wait := f.timing.Wait
 	if f.failures > 0 {
-		wait = 0 // the end of an outage is noticed without waiting for a change
+		wait = 0 // detect the end of an outage without waiting for a change
 	}
 	return f.source.ReadChanges(ctx, f.revision, wait, wait+f.timing.Timeout)
 }
 
-func (f *Follower) failed(ctx context.Context, err error) {
+func (f *Follower) handleFailure(ctx context.Context, err error) {
 	if errors.Is(err, ErrHistoryLost) {
 		f.log.Warn("platform-history-lost", "revision", f.revision, "error", err)
 		f.synced = false
 		return
 	}
 	if f.failures == 0 {
-		f.since = time.Now()
+		f.outageStart = time.Now()
 		f.log.Warn("platform-lost", "revision", f.revision, "error", err)
 	}
 	f.failures++
 	d := min(f.timing.RetryMin<<min(f.failures-1, 8), f.timing.RetryMax)
-	// Instances that failed together do not retry together.
-	pause(ctx, d/2+time.Duration(rand.Int64N(int64(d))))
+	// The jitter keeps instances that failed together from retrying together.
+	sleep(ctx, d/2+time.Duration(rand.Int64N(int64(d))))
 }
 
-func (f *Follower) succeeded(u *Update) {
+func (f *Follower) handleUpdate(u *Update) {
 	if f.failures > 0 {
-		f.log.Info("platform-regained", "revision", u.Revision, "failures", f.failures, "outage", time.Since(f.since))
+		f.log.Info("platform-regained", "revision", u.Revision, "failures", f.failures, "outage", time.Since(f.outageStart))
 		u.AfterOutage = true
 	}
 	f.failures = 0
 	for _, i := range u.Invalid {
 		f.log.Warn("entry-invalid", "key", i.Key, "revision", i.Revision, "error", i.Err)
 	}
-	u.Targets = f.newer(u)
+	u.Targets = f.dropOutdated(u)
 	f.synced = true
 	f.revision = u.Revision
 	f.deliver(*u)
 }
 
-// newer returns the targets of u without those that are older than what is
-// known: the pages of a full read and the changes after it overlap.
-func (f *Follower) newer(u *Update) []*Target {
+// dropOutdated returns the targets of u without those older than the revision already
+// delivered. The pages of a full read and the changes after it overlap.
+func (f *Follower) dropOutdated(u *Update) []*Target {
 	if u.Complete {
-		clear(f.seen)
+		clear(f.revisions)
 	}
 	kept := u.Targets[:0]
 	for _, t := range u.Targets {
-		if t.Revision >= f.seen[t.Name] {
-			f.seen[t.Name] = t.Revision
+		if t.Revision >= f.revisions[t.Name] {
+			f.revisions[t.Name] = t.Revision
 			kept = append(kept, t)
 		}
 	}
 	return kept
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
 	}
