--- a/internal/forwarder/admin.go
+++ b/internal/forwarder/admin.go
@@ -14,16 +14,17 @@
 	"arbutusdock.example/arbutusdock/internal/passthrough"
 )
 
-// adminTimeout bounds the wait for the forwarding goroutine.
+// adminTimeout bounds the time that an admin request waits for the forwarding
+// goroutine.
 const adminTimeout = 2 * time.Second
 
-// State is the body of /v1/state.
+// State is the response body of /v1/state.
 type State struct {
 	Instance   ids.Instance
 	DataCentre ids.DataCentre
 	Serving    bool
-	NewsAge    time.Duration // since what is published was last known to be complete
-	Source     string        // where it is read: platform or an instance
+	NewsAge    time.Duration // time since the state was last confirmed to be up to date
+	Source     string        // where updates are read: "platform", the ID of an instance or "none"
 	passthrough.Snapshot
 }
 
@@ -34,13 +35,13 @@
 		return nil
 	}
 	mux := http.NewServeMux()
-	page := promhttp.HandlerFor(f.metrics.registry, promhttp.HandlerOpts{})
+	handler := promhttp.HandlerFor(f.metrics.registry, promhttp.HandlerOpts{})
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, r *http.Request) {
 		var s State
-		if f.snapshot(r.Context(), &s) { // without it the page shows the last values
-			f.metrics.show(&s.Snapshot, s.NewsAge)
+		if f.snapshot(r.Context(), &s) { // otherwise the gauges keep their last values
+			f.metrics.setGauges(&s.Snapshot, s.NewsAge)
 		}
-		page.ServeHTTP(w, r)
+		handler.ServeHTTP(w, r)
 	})
 	mux.HandleFunc("GET /v1/state", f.serveState)
 	mux.HandleFunc("GET /v1/explain", f.serveExplain)
@@ -52,12 +53,13 @@
 	return nil
 }
 
-// ask runs a query in the forwarding goroutine and waits until it has run.
-func (f *Forwarder) ask(ctx context.Context, query func(now ids.Time)) bool {
+// runQuery runs a query in the forwarding goroutine and waits for its completion. It
+// reports false if the goroutine did not respond in time.
+func (f *Forwarder) runQuery(ctx context.Context, query func(now ids.Time)) bool {
 	ctx, cancel := context.WithTimeout(ctx, adminTimeout)
 	defer cancel()
 	done := make(chan struct{})
-	if !f.run(ctx, func() { defer close(done); query(f.clock.now()) }) {
+	if !f.submit(ctx, func() { defer close(done); query(f.clock.now()) }) {
 		return false
 	}
 	select {
@@ -68,13 +70,13 @@
 	}
 }
 
-// snapshot fills in what the core believes. It reports false when the forwarding
-// goroutine did not respond in time.
+// snapshot sets the fields of s that come from the core. It reports false if the
+// forwarding goroutine did not respond in time.
 func (f *Forwarder) snapshot(ctx context.Context, s *State) bool {
-	var got State
-	ok := f.ask(ctx, func(now ids.Time) { got = State{NewsAge: now.Sub(f.updatedAt), Snapshot: f.core.Snapshot(now)} })
+	var current State
+	ok := f.runQuery(ctx, func(now ids.Time) { current = State{NewsAge: now.Sub(f.updatedAt), Snapshot: f.core.Snapshot(now)} })
 	if ok {
-		s.NewsAge, s.Snapshot = got.NewsAge, got.Snapshot
+		s.NewsAge, s.Snapshot = current.NewsAge, current.Snapshot
 	}
 	return ok
 }
@@ -85,22 +87,23 @@
 		http.Error(w, "the instance did not respond in time", http.StatusServiceUnavailable)
 		return
 	}
-	reply(w, s)
+	writeJSON(w, s)
 }
 
-// serveExplain answers where a packet of a caller would go. Its parameters are
-// caller and to, IP and port each, and cookie, 0 for a new flow.
+// serveExplain responds with the decision that the core would make for a packet. Its
+// parameters are caller and to, an IP address and port each, and cookie, which is 0 for
+// a new flow.
 func (f *Forwarder) serveExplain(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	var flow passthrough.FlowKey
-	for name, end := range map[string]*passthrough.Endpoint{"caller": &flow.Caller, "to": &flow.Service} {
-		at, err := netip.ParseAddrPort(q.Get(name))
-		e, ok := passthrough.EndpointOf(at)
+	for name, endpoint := range map[string]*passthrough.Endpoint{"caller": &flow.Caller, "to": &flow.Service} {
+		address, err := netip.ParseAddrPort(q.Get(name))
+		e, ok := passthrough.EndpointOf(address)
 		if err != nil || !ok {
 			http.Error(w, "parameter "+name+" must be an IPv4 address and port", http.StatusBadRequest)
 			return
 		}
-		*end = e
+		*endpoint = e
 	}
 	cookie, err := strconv.ParseUint(q.Get("cookie"), 10, 32)
 	if err != nil && q.Has("cookie") {
@@ -108,14 +111,14 @@
 		return
 	}
 	var e passthrough.Explanation
-	if !f.ask(r.Context(), func(now ids.Time) { e = f.core.Explain(now, flow, passthrough.Cookie(cookie)) }) {
+	if !f.runQuery(r.Context(), func(now ids.Time) { e = f.core.Explain(now, flow, passthrough.Cookie(cookie)) }) {
 		http.Error(w, "the instance did not respond in time", http.StatusServiceUnavailable)
 		return
 	}
-	reply(w, e)
+	writeJSON(w, e)
 }
 
-func reply(w http.ResponseWriter, body any) {
+func writeJSON(w http.ResponseWriter, body any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(body) // the asking side may have left
+	_ = json.NewEncoder(w).Encode(body) // the client may have disconnected
 }
--- a/internal/forwarder/bench_test.go
+++ b/internal/forwarder/bench_test.go
@@ -13,8 +13,8 @@
 	"arbutusdock.example/arbutusdock/internal/settings"
 )
 
-// BenchmarkLogDecision measures a line about a decision, up to the ring of the
-// writer.
+// BenchmarkLogDecision measures the cost of logging a decision, up to the ring buffer
+// of the log writer.
 func BenchmarkLogDecision(b *testing.B) {
 	at := netip.MustParseAddrPort("127.0.0.1:0")
 	f, err := New(settings.Settings{Passthrough: &settings.Passthrough{Instance: "a", DataCentre: "a", Listen: at, FlowLife: time.Minute}}, io.Discard, io.Discard)
--- a/internal/forwarder/check.go
+++ b/internal/forwarder/check.go
@@ -13,12 +13,12 @@
 const (
 	// checkWorkers is the number of concurrent health checks.
 	checkWorkers = 4
-	// checkTimeout bounds a health check. A backend server answers in about
-	// 1 ms, behind a full queue in about 150 ms.
+	// checkTimeout bounds a health check. A backend server responds in about 1 ms,
+	// or in about 150 ms when its queue is full.
 	checkTimeout = 300 * time.Millisecond
 )
 
-// checker carries out the health checks that the core asks for.
+// checker runs the health checks that the core requests.
 type checker struct {
 	pool pond.Pool
 }
@@ -27,15 +27,15 @@
 	return &checker{pond.NewPool(checkWorkers, pond.WithContext(ctx), pond.WithQueueSize(passthrough.MaxChecks), pond.WithNonBlocking(true))}
 }
 
-// check starts a check and hands its outcome to the core.
-func (f *Forwarder) check(ctx context.Context, k passthrough.Check) {
-	began := f.clock.now()
+// startCheck starts a health check and passes its result to the core.
+func (f *Forwarder) startCheck(ctx context.Context, k passthrough.Check) {
+	start := f.clock.now()
 	_, ok := f.checker.pool.TrySubmit(func() {
 		result := platform.CheckHealth(ctx, k, checkTimeout)
 		f.metrics.checks.WithLabelValues(result.String()).Inc()
-		f.run(ctx, func() { f.core.Checked(f.clock.now(), k, began, result) })
+		f.submit(ctx, func() { f.core.Checked(f.clock.now(), k, start, result) })
 	})
 	if !ok {
-		f.log.Warn("check-left-out", "target", k.Target) // the next suspicion asks again
+		f.log.Warn("check-left-out", "target", k.Target) // the core requests it again at the next suspicion
 	}
 }
--- a/internal/forwarder/forward.go
+++ b/internal/forwarder/forward.go
@@ -16,18 +16,19 @@
 	"arbutusdock.example/arbutusdock/platform"
 )
 
-// readPause bounds the rate of repeated read errors.
-const readPause = 10 * time.Millisecond
+// readErrorDelay is the delay after a read error. It bounds the rate of errors.
+const readErrorDelay = 10 * time.Millisecond
 
-// forward reads and decides until the socket is closed. It alone uses the core.
+// forward reads and handles datagrams until the socket is closed. The core is used only
+// by the goroutine that runs forward.
 func (f *Forwarder) forward(ctx context.Context) error {
 	buffer := make([]byte, platform.MaxDatagram)
 	packet := buffer[platform.Headroom:]
 	for {
 		n, _, err := f.conn.ReadFromUDPAddrPort(packet)
 		if err == nil {
-			f.packet(buffer[:platform.Headroom+n])
-			f.core.Checks(func(k passthrough.Check) { f.check(ctx, k) })
+			f.handlePacket(buffer[:platform.Headroom+n])
+			f.core.Checks(func(k passthrough.Check) { f.startCheck(ctx, k) })
 			continue
 		}
 		switch {
@@ -41,12 +42,12 @@
 		default:
 			f.metrics.readErrors.Inc()
 			f.log.Warn("read-failed", "error", err)
-			time.Sleep(readPause)
+			time.Sleep(readErrorDelay)
 		}
 	}
 }
 
-// runCommands runs everything that waits in the ring.
+// runCommands runs all commands that are queued in the ring.
 func (f *Forwarder) runCommands() {
 	for {
 		select {
@@ -59,7 +60,8 @@
 	}
 }
 
-// apply passes an update to the core.
+// apply passes an update to the core and marks the instance ready once the core has a
+// configuration.
 func (f *Forwarder) apply(u *follow.Update) {
 	now := f.clock.now()
 	f.updatedAt = now.Add(-u.Age)
@@ -69,7 +71,7 @@
 	if u.Config != nil {
 		f.core.Config(u.Config)
 	}
-	var present []*passthrough.TargetRecord // of a complete update
+	var present []*passthrough.TargetRecord // records of a full read
 	for _, t := range u.Targets {
 		switch {
 		case t.Unreadable:
@@ -91,8 +93,9 @@
 	}
 }
 
-// packet decides about one datagram, whose first Headroom bytes are free.
-func (f *Forwarder) packet(datagram []byte) {
+// handlePacket processes one datagram. Its first Headroom bytes are reserved for the
+// identity of the target; the packet follows.
+func (f *Forwarder) handlePacket(datagram []byte) {
 	now := f.clock.now()
 	f.lastPacket.Store(int64(now))
 	f.received.Add(1)
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -1,6 +1,6 @@
-// Package forwarder runs the pass-through core: it reads the datagrams of
-// callers, carries out the decisions of the core, feeds it with what is
-// published and answers the readiness probe of the fabric.
+// Package forwarder runs the pass-through core: it reads the datagrams of callers,
+// executes the decisions of the core, passes updates of the configuration and the
+// targets to it, and answers the readiness probe of the network fabric.
 package forwarder
 
 import (
@@ -25,71 +25,72 @@
 )
 
 const (
-	// socketBuffer is asked for in each direction. It holds the datagrams that
-	// arrive while the process waits for its share of the processor.
-	socketBuffer = 4 << 20
-	// commandRing is the number of updates and queries that wait for the core.
-	commandRing = 64
-	// logLines is the number of lines that wait for standard output.
-	logLines = 1024
-	// flowShare is the part of the memory limit that remembered flows may take.
-	flowShare = 0.25
-	// defaultFlows is the number of flows remembered without a memory limit.
+	// socketBufferBytes is the socket buffer size requested in each direction. It
+	// holds the datagrams that arrive while the process waits for CPU time.
+	socketBufferBytes = 4 << 20
+	// commandRingSize is the capacity of the ring of updates and queries for the core.
+	commandRingSize = 64
+	// logRingLines is the number of log lines buffered for standard output.
+	logRingLines = 1024
+	// flowMemoryShare is the fraction of the memory limit that the flow table may use.
+	flowMemoryShare = 0.25
+	// defaultFlows is the capacity of the flow table without a memory limit.
 	defaultFlows = 1 << 18
-	// minFlows is the least number of flows remembered.
+	// minFlows is the minimum capacity of the flow table.
 	minFlows = 1 << 10
-	// leaveAfter is the least time from SIGTERM to the end: the fabric probes
-	// twice a second and takes an instance out after two misses.
-	leaveAfter = 1600 * time.Millisecond
-	// quietTime without packets ends a planned stop before the grace is over.
-	quietTime = 700 * time.Millisecond
-	// exitMargin is kept of the grace, for the end of the process.
+	// minStopDuration is the minimum time from SIGTERM to the exit: the fabric probes
+	// twice a second and removes an instance after two failed probes.
+	minStopDuration = 1600 * time.Millisecond
+	// quietPeriod is the time without packets after which a planned stop ends before
+	// the grace period is over.
+	quietPeriod = 700 * time.Millisecond
+	// exitMargin is the part of the grace period reserved for the exit of the process.
 	exitMargin = 500 * time.Millisecond
 )
 
 // Forwarder is one pass-through instance.
 type Forwarder struct {
-	settings   *settings.Passthrough
-	log        *slog.Logger
-	out        *telemetry.Writer
-	conn       *net.UDPConn
-	core       *passthrough.Core
-	commands   *ring.Ring[func()] // run by the forwarding goroutine
-	state      *fanout.State
-	checker    *checker
-	peers      *fanout.Source     // nil without an interface between instances
-	leave      context.CancelFunc // ends the announcements at the seeds
-	clock      clock
-	metrics    *metrics
-	tracer     *telemetry.Tracer
-	placements limiter // lines about ordinary placements
-	exceptions limiter // lines about all other decisions
-
-	updatedAt  ids.Time // of the last update; used by the forwarding goroutine
+	settings         *settings.Passthrough
+	log              *slog.Logger
+	logWriter        *telemetry.Writer
+	conn             *net.UDPConn
+	core             *passthrough.Core
+	commands         *ring.Ring[func()] // run by the forwarding goroutine
+	state            *fanout.State
+	checker          *checker
+	fanoutSource     *fanout.Source     // nil without an interface between instances
+	stopAnnouncing   context.CancelFunc // ends the announcements to the seeds
+	clock            clock
+	metrics          *metrics
+	tracer           *telemetry.Tracer
+	placementLimiter lineLimiter // limits log lines about ordinary placements
+	exceptionLimiter lineLimiter // limits log lines about all other decisions
+
+	updatedAt  ids.Time // when the state was last confirmed to be up to date; used by the forwarding goroutine
 	reload     *reload.Watcher
-	lifecycle  atomic.Uint32 // chart.State of chart.Instance
-	lastPacket atomic.Int64  // ids.Time
-	received   atomic.Uint64 // datagrams
+	lifecycle  atomic.Uint32 // a chart.State of chart.Instance
+	lastPacket atomic.Int64  // an ids.Time
+	received   atomic.Uint64 // number of datagrams received
 	stop       chan struct{}
 }
 
-// clock yields times that never decrease, whatever happens to the time of day.
+// clock is a monotonic clock, independent of changes of the wall clock.
 type clock struct{ start time.Time }
 
 func (c clock) now() ids.Time { return ids.Time(time.Since(c.start)) + 1 }
 
-// Reload asks for the settings file to be read again. It does not wait.
+// Reload triggers a reload of the settings file and returns immediately.
 func (f *Forwarder) Reload() { f.reload.Reload() }
 
-// New opens the sockets of an instance for pass-through flows. Its log goes to
-// stdout, spans to what the settings name.
+// New returns an instance for pass-through flows and opens its UDP socket. The log is
+// written to stdout, and spans to the exporter named in the settings.
 func New(all settings.Settings, stdout, stderr io.Writer) (*Forwarder, error) {
 	s := all.Passthrough
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(s.Listen))
 	if err != nil {
 		return nil, eris.Wrapf(err, "listen for datagrams on %s", s.Listen)
 	}
-	out := telemetry.NewWriter(stdout, logLines)
+	out := telemetry.NewWriter(stdout, logRingLines)
 	spans := map[string]io.Writer{"stdout": out, "stderr": stderr}[s.Trace.Exporter]
 	tracer, err := telemetry.NewTracer(spans, s.Trace.Sample, s.Instance)
 	if err != nil {
@@ -99,23 +100,23 @@
 	level := new(slog.LevelVar)
 	level.Set(s.Log.Level)
 	f := &Forwarder{
-		settings:   s,
-		tracer:     tracer,
-		log:        telemetry.NewLogger(out, level, s.Instance),
-		out:        out,
-		conn:       conn,
-		commands:   ring.New[func()](commandRing),
-		state:      fanout.NewState(),
-		clock:      clock{time.Now()},
-		placements: limiter{rate: placementLines},
-		exceptions: limiter{rate: exceptionLines},
-		leave:      func() {},
-		stop:       make(chan struct{}),
+		settings:         s,
+		tracer:           tracer,
+		log:              telemetry.NewLogger(out, level, s.Instance),
+		logWriter:        out,
+		conn:             conn,
+		commands:         ring.New[func()](commandRingSize),
+		state:            fanout.NewState(),
+		clock:            clock{time.Now()},
+		placementLimiter: lineLimiter{rate: placementLines},
+		exceptionLimiter: lineLimiter{rate: exceptionLines},
+		stopAnnouncing:   func() {},
+		stop:             make(chan struct{}),
 	}
 	f.reload = reload.New(all, level, f.log)
-	// A kernel that grants a smaller buffer is no fault.
-	_ = conn.SetReadBuffer(socketBuffer)
-	_ = conn.SetWriteBuffer(socketBuffer)
+	// A kernel that grants a smaller buffer is not an error.
+	_ = conn.SetReadBuffer(socketBufferBytes)
+	_ = conn.SetWriteBuffer(socketBufferBytes)
 	f.metrics = newMetrics(f)
 	f.core = passthrough.New(passthrough.Settings{
 		DataCentre: s.DataCentre,
@@ -132,12 +133,13 @@
 	if memory == 0 {
 		return defaultFlows
 	}
-	return max(int(float64(memory)*flowShare/passthrough.FlowBytes), minFlows)
+	return max(int(float64(memory)*flowMemoryShare/passthrough.FlowBytes), minFlows)
 }
 
-// Run forwards until Stop and the planned stop that follows, or until ctx ends.
+// Run forwards packets until the planned stop begun by Stop is complete, or until ctx
+// ends.
 func (f *Forwarder) Run(ctx context.Context) error {
-	defer f.out.Close()
+	defer f.logWriter.Close()
 	defer f.closeTracer()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -149,7 +151,7 @@
 	defer func() { _ = probe.Close() }() // the process ends
 	f.log.Info("started", "data_centre", f.settings.DataCentre, "listen", f.settings.Listen, "platform", f.settings.Platform)
 	f.checker = newChecker(ctx)
-	source, err := f.source(ctx)
+	source, err := f.startSource(ctx)
 	if err != nil {
 		_ = f.conn.Close() // nothing was served yet
 		return err
@@ -164,11 +166,11 @@
 	go f.reload.Run(ctx)
 	go f.limitHeap(ctx)
 	err = f.forward(ctx)
-	f.log.Info("stopped", "packets", f.received.Load(), "log_lines_dropped", f.out.Stats().Dropped)
+	f.log.Info("stopped", "packets", f.received.Load(), "log_lines_dropped", f.logWriter.Stats().Dropped)
 	return err
 }
 
-// closeTracer writes the spans that are still buffered.
+// closeTracer flushes the buffered spans.
 func (f *Forwarder) closeTracer() {
 	ctx, cancel := context.WithTimeout(context.Background(), exitMargin/2)
 	defer cancel()
@@ -177,17 +179,18 @@
 	}
 }
 
-// deliver hands updates to the forwarding goroutine.
+// deliver returns a function that records an update in the state served to other
+// instances and passes it to the forwarding goroutine.
 func (f *Forwarder) deliver(ctx context.Context) func(follow.Update) {
 	return func(u follow.Update) {
 		f.state.Apply(&u)
-		f.run(ctx, func() { f.apply(&u) })
+		f.submit(ctx, func() { f.apply(&u) })
 	}
 }
 
-// run has the forwarding goroutine run a command. It waits for room in the ring
-// and reports false when ctx ends before.
-func (f *Forwarder) run(ctx context.Context, command func()) bool {
+// submit queues a command for the forwarding goroutine. It waits for space in the ring
+// and reports false if ctx ends first.
+func (f *Forwarder) submit(ctx context.Context, command func()) bool {
 	for !f.commands.Push(command) {
 		select {
 		case <-ctx.Done():
@@ -195,38 +198,39 @@
 		case <-time.After(time.Millisecond):
 		}
 	}
-	// Wakes the goroutine. It fails only after the socket is closed.
+	// An expired deadline wakes the goroutine. Setting it fails only after the socket
+	// is closed.
 	_ = f.conn.SetReadDeadline(time.Unix(1, 0))
 	return true
 }
 
-// Stop begins the planned stop.
+// Stop begins the planned stop. It must be called at most once.
 func (f *Forwarder) Stop() { close(f.stop) }
 
-// awaitStop leaves the rotation, lets the packets that still arrive be
-// forwarded and closes the socket.
+// awaitStop waits for Stop. It then takes the instance out of rotation, allows the
+// packets that still arrive to be forwarded, and closes the socket.
 func (f *Forwarder) awaitStop(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 	case <-f.stop:
 		f.fire(chart.InstanceStop)
-		f.leave()
+		f.stopAnnouncing()
 		f.log.Info("stopping", "grace", f.settings.Grace)
-		begin := f.clock.now()
+		start := f.clock.now()
 		for {
 			now := f.clock.now()
-			quiet := now.Sub(ids.Time(f.lastPacket.Load())) >= quietTime
-			if now.Sub(begin) >= f.settings.Grace-exitMargin || (quiet && now.Sub(begin) >= leaveAfter) {
+			quiet := now.Sub(ids.Time(f.lastPacket.Load())) >= quietPeriod
+			if now.Sub(start) >= f.settings.Grace-exitMargin || (quiet && now.Sub(start) >= minStopDuration) {
 				break
 			}
-			time.Sleep(quietTime / 10)
+			time.Sleep(quietPeriod / 10)
 		}
 		f.fire(chart.InstanceLeave)
 	}
 	_ = f.conn.Close() // ends the forwarding goroutine
 }
 
-// fire applies an event of the instance's lifecycle.
+// fire applies an event to the lifecycle state of the instance.
 func (f *Forwarder) fire(e chart.Event) {
 	for {
 		old := f.lifecycle.Load()
@@ -245,10 +249,10 @@
 	return chart.State(f.lifecycle.Load()) == chart.InstanceServing
 }
 
-// sourceName returns where publications are read.
+// sourceName returns the name of the source from which updates are read.
 func (f *Forwarder) sourceName() string {
-	if f.peers == nil {
+	if f.fanoutSource == nil {
 		return "platform"
 	}
-	return f.peers.Current()
+	return f.fanoutSource.Current()
 }
--- a/internal/forwarder/forwarder_test.go
+++ b/internal/forwarder/forwarder_test.go
@@ -37,15 +37,16 @@
 	done  chan error
 }
 
-// fleet is a small deployment on the loopback interface.
+// fleet is a small deployment on the loopback interface: a store, instances, targets and
+// a caller.
 type fleet struct {
 	t         *testing.T
 	store     *platformtest.Store
-	port      uint16 // of all datagrams to callers and instances
+	port      uint16 // UDP port of the callers and the instances
 	instances []*instance
 	targets   []*platformtest.Target
 	caller    *platformtest.Caller
-	chosen    atomic.Pointer[instance] // where the fabric sends packets
+	receiver  atomic.Pointer[instance] // instance to which the fabric sends packets
 }
 
 func freePort(t *testing.T) uint16 {
@@ -55,12 +56,12 @@
 	return conn.LocalAddr().(*net.UDPAddr).AddrPort().Port()
 }
 
-// newFleet starts a store with both routes, two targets of each service and n
-// instances.
+// newFleet starts a store with two routes, two targets of each service, n instances and
+// a caller.
 func newFleet(t *testing.T, n int) *fleet {
 	f := &fleet{t: t, store: platformtest.NewStore(), port: freePort(t)}
 	t.Cleanup(f.store.Close)
-	f.config(1)
+	f.putConfig(1)
 	for i, service := range []string{"counter", "counter", "slips", "slips"} {
 		target, err := platformtest.NewTarget(uint32(0x100+i), service, "a", f.port)
 		assert.NilError(t, err)
@@ -73,27 +74,27 @@
 	}
 	var err error
 	f.caller, err = platformtest.NewCaller(netip.AddrPortFrom(netip.MustParseAddr("127.0.1.1"), f.port),
-		func(_, _ netip.AddrPort) netip.AddrPort { return f.chosen.Load().settings.Listen })
+		func(_, _ netip.AddrPort) netip.AddrPort { return f.receiver.Load().settings.Listen })
 	assert.NilError(t, err)
 	t.Cleanup(f.caller.Close)
 	return f
 }
 
-func (f *fleet) config(version int) {
+func (f *fleet) putConfig(version int) {
 	f.store.PutConfig(version,
 		platformtest.Route{IP: counter.Addr().String(), Port: int(counter.Port()), Service: "counter", Kind: "unsafe"},
 		platformtest.Route{IP: slips.Addr().String(), Port: int(slips.Port()), Service: "slips", Kind: "download"})
 }
 
-// start runs one more instance and waits until it serves.
+// start starts a further instance and waits until it is ready.
 func (f *fleet) start() *instance {
 	n := len(f.instances)
 	ip := netip.AddrFrom4([4]byte{127, 0, 0, byte(10 + n)})
-	tcp := freePort(f.t)
+	tcpPort := freePort(f.t)
 	s := &settings.Passthrough{
 		Instance: ids.Instance(fmt.Sprint("a-", n)), DataCentre: "a", Platform: netip.MustParseAddrPort(f.store.Address()),
-		Listen: netip.AddrPortFrom(ip, f.port), Ready: netip.AddrPortFrom(ip, tcp), Control: netip.AddrPortFrom(ip, tcp+1),
-		Metrics:     netip.AddrPortFrom(ip, tcp+2),
+		Listen: netip.AddrPortFrom(ip, f.port), Ready: netip.AddrPortFrom(ip, tcpPort), Control: netip.AddrPortFrom(ip, tcpPort+1),
+		Metrics:     netip.AddrPortFrom(ip, tcpPort+2),
 		ApplyWithin: 3 * time.Second, Grace: 6 * time.Second, FlowLife: time.Minute, Log: settings.Log{Level: slog.LevelDebug}, Trace: settings.Trace{Exporter: "stderr", Sample: 1},
 	}
 	s.Advertise = s.Control
@@ -110,12 +111,12 @@
 	go func() { i.done <- i.Run(ctx) }()
 	f.t.Cleanup(cancel)
 	f.instances = append(f.instances, i)
-	f.chosen.CompareAndSwap(nil, i)
+	f.receiver.CompareAndSwap(nil, i)
 	f.eventually(func() bool { return i.ready() == http.StatusOK }, "instance is ready")
 	return i
 }
 
-// ready returns the status that the readiness probe gets, 0 for none.
+// ready returns the status of the readiness probe, 0 if it fails.
 func (i *instance) ready() int {
 	response, err := http.Get("http://" + i.settings.Ready.String() + "/ready")
 	if err != nil {
@@ -133,10 +134,10 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	f.t.Fatalf("not within 5 s: %s", what)
+	f.t.Fatalf("condition not met within 5 s: %s", what)
 }
 
-// request runs one request on a flow of its own.
+// request sends one request on a new flow.
 func (f *fleet) request(to netip.AddrPort, text string) (string, error) {
 	flow, err := f.caller.Open(to)
 	if err != nil {
@@ -147,7 +148,7 @@
 	return string(answer), err
 }
 
-// checkTargets fails if a packet reached the wrong target or a request ran twice.
+// checkTargets fails the test if a packet was misdelivered or a request ran twice.
 func (f *fleet) checkTargets() {
 	f.t.Helper()
 	for _, target := range f.targets {
@@ -158,8 +159,8 @@
 	assert.Equal(f.t, f.caller.Misdelivered(), 0)
 }
 
-// Guards against a path that does not work end to end, answers of another
-// service, and a flow that breaks when its packets reach another instance.
+// Guards against requests that fail end to end, responses from another service, and a
+// flow that breaks when its packets reach another instance.
 func TestPath(t *testing.T) {
 	f := newFleet(t, 2)
 	for i := range 20 {
@@ -174,7 +175,7 @@
 	assert.NilError(t, err)
 	first, err := flow.Request([]byte("a"), time.Second)
 	assert.NilError(t, err)
-	f.chosen.Store(f.instances[1])
+	f.receiver.Store(f.instances[1])
 	second, err := flow.Request([]byte("b"), time.Second)
 	assert.NilError(t, err)
 	assert.Equal(t, string(first[:len(first)-1]), string(second[:len(second)-1]), "the target is the same")
@@ -183,15 +184,15 @@
 	f.checkTargets()
 }
 
-// Guards against a request that is cut by a planned stop, and against an
-// instance that ends before the fabric has taken it out of rotation.
+// Guards against a request that is interrupted by a planned stop, and against an
+// instance that exits before the fabric has taken it out of rotation.
 func TestPlannedStop(t *testing.T) {
 	f := newFleet(t, 2)
 	flow, err := f.caller.Open(counter)
 	assert.NilError(t, err)
-	leaving := f.instances[0]
-	leaving.Stop()
-	f.eventually(func() bool { return leaving.ready() == http.StatusServiceUnavailable }, "the instance leaves the rotation")
+	stopping := f.instances[0]
+	stopping.Stop()
+	f.eventually(func() bool { return stopping.ready() == http.StatusServiceUnavailable }, "the instance leaves the rotation")
 	start := time.Now()
 	for i := 0; time.Since(start) < 1200*time.Millisecond; i++ {
 		_, err := flow.Request([]byte(fmt.Sprint("x", i)), time.Second)
@@ -199,19 +200,19 @@
 		_, err = f.request(slips, fmt.Sprint("y", i))
 		assert.NilError(t, err)
 	}
-	f.chosen.Store(f.instances[1]) // the fabric has noticed
-	assert.NilError(t, <-leaving.done)
+	f.receiver.Store(f.instances[1]) // the fabric has removed the stopping instance
+	assert.NilError(t, <-stopping.done)
 	_, err = flow.Request([]byte("last"), time.Second)
 	assert.NilError(t, err)
-	assert.Assert(t, strings.Contains(leaving.log.String(), "msg=stopped"))
+	assert.Assert(t, strings.Contains(stopping.log.String(), "msg=stopped"))
 	for _, hop := range []string{"placed", "opened", "served"} {
-		assert.Assert(t, strings.Contains(leaving.spans.String(), `"Name":"`+hop+`"`), "no span %s", hop)
+		assert.Assert(t, strings.Contains(stopping.spans.String(), `"Name":"`+hop+`"`), "no span %s", hop)
 	}
 	f.checkTargets()
 }
 
-// Guards against new flows to a draining target, and against a flow that the
-// drain breaks.
+// Guards against new flows to a draining target, and against an existing flow that
+// breaks when its target drains.
 func TestDrain(t *testing.T) {
 	f := newFleet(t, 1)
 	flow, err := f.caller.Open(counter)
@@ -236,21 +237,21 @@
 	f.checkTargets()
 }
 
-// Guards against an instance that cannot start while the platform refuses it
-// although others know everything.
+// Guards against an instance that cannot start while the platform refuses requests,
+// although other instances have the state.
 func TestStartWhilePlatformRefuses(t *testing.T) {
 	f := newFleet(t, 2)
 	f.store.Refuse(http.StatusServiceUnavailable)
-	late := f.start()
-	f.chosen.Store(late)
+	joining := f.start()
+	f.receiver.Store(joining)
 	_, err := f.request(counter, "x")
 	assert.NilError(t, err)
 	changed := regexp.MustCompile(`msg=source-changed instance=a-2 from="" to=(a-|"seed )`)
-	assert.Assert(t, changed.MatchString(late.log.String()), "its first source is an instance: %s", late.log)
+	assert.Assert(t, changed.MatchString(joining.log.String()), "its first source is an instance: %s", joining.log)
 }
 
-// Guards against a configuration that does not take effect after the history of
-// the platform is lost, and against flows that this breaks.
+// Guards against a configuration that does not take effect after the platform has lost
+// its history of changes, and against existing flows that break then.
 func TestConfigAfterLostHistory(t *testing.T) {
 	f := newFleet(t, 2)
 	flow, err := f.caller.Open(counter)
@@ -272,8 +273,8 @@
 	f.checkTargets()
 }
 
-// Pattern: a target falls silent. Guards against callers that wait for more than
-// one repeated opening.
+// Guards against callers that must retransmit an opening packet more than once when a
+// target becomes unresponsive.
 func TestSilentTarget(t *testing.T) {
 	f := newFleet(t, 1)
 	f.targets[0].SetSilent(true)
@@ -290,8 +291,8 @@
 	f.checkTargets()
 }
 
-// Guards against metrics, a state or an explanation that cannot be read while
-// packets are forwarded, or that tell something else than what happens.
+// Guards against an admin interface that is unavailable while packets are forwarded, or
+// whose metrics, state or explanations are wrong.
 func TestAdminInterface(t *testing.T) {
 	f := newFleet(t, 1)
 	_, err := f.request(counter, "x")
@@ -307,34 +308,34 @@
 	for _, want := range []string{`arbutusdock_packets_total{reason="placed"} 1`, "arbutusdock_opening_seconds_count 1",
 		"arbutusdock_request_seconds_count 1", "arbutusdock_ready 1", "arbutusdock_config_version 1",
 		`arbutusdock_targets{state="starting"} `, "arbutusdock_flows 0", `arbutusdock_news_total{result="ok",source="platform"}`} {
-		// The caller has its answer from the target before the instance has read the
-		// packets that acknowledge it and end the flow.
+		// The caller receives the response before the instance has read the packets
+		// that acknowledge it and end the flow.
 		f.eventually(func() bool { return strings.Contains(get("/metrics"), want) }, want+" on the page of the metrics")
 	}
 	var s State
 	assert.NilError(t, json.Unmarshal([]byte(get("/v1/state")), &s))
 	assert.Equal(t, s.Version, uint64(1))
 	assert.Equal(t, len(s.Targets), 4)
-	var x passthrough.Explanation
-	assert.NilError(t, json.Unmarshal([]byte(get("/v1/explain?caller=127.0.1.1:5000&to=198.18.0.1:443")), &x))
-	assert.Equal(t, x.Verdict+" "+x.Reason+" "+string(x.Service), "forward placed counter")
-	assert.Equal(t, len(x.Candidates), 2)
+	var explanation passthrough.Explanation
+	assert.NilError(t, json.Unmarshal([]byte(get("/v1/explain?caller=127.0.1.1:5000&to=198.18.0.1:443")), &explanation))
+	assert.Equal(t, explanation.Verdict+" "+explanation.Reason+" "+string(explanation.Service), "forward placed counter")
+	assert.Equal(t, len(explanation.Candidates), 2)
 	assert.Assert(t, strings.Contains(get("/v1/explain?caller=x&to=y"), "must be an IPv4 address and port"))
 }
 
-// Guards against log lines without bound under load, and against a count of
-// lines left out that is lost.
+// Guards against an unbounded number of log lines under load, and against a wrong count
+// of suppressed lines.
 func TestLogLimit(t *testing.T) {
-	l := limiter{rate: 3}
+	l := lineLimiter{rate: 3}
 	written := 0
 	for range 10 {
-		if ok, left := l.admit(1e9); ok {
+		if ok, suppressed := l.admit(1e9); ok {
 			written++
-			assert.Equal(t, left, 0)
+			assert.Equal(t, suppressed, 0)
 		}
 	}
 	assert.Equal(t, written, 3)
-	ok, left := l.admit(2e9 + 1)
+	ok, suppressed := l.admit(2e9 + 1)
 	assert.Assert(t, ok)
-	assert.Equal(t, left, 7)
+	assert.Equal(t, suppressed, 7)
 }
--- a/internal/forwarder/interfaces.go
+++ b/internal/forwarder/interfaces.go
@@ -17,15 +17,15 @@
 	"arbutusdock.example/arbutusdock/platform"
 )
 
-// headerTimeout bounds the reading of the header of a request.
+// headerTimeout bounds the time to read the header of a request.
 const headerTimeout = 5 * time.Second
 
-// serveReady answers the readiness probe of the fabric.
+// serveReady serves the readiness probe of the fabric.
 func (f *Forwarder) serveReady() (*http.Server, error) {
 	return f.serveHTTP("probes", f.settings.Ready, platform.ReadyHandler(f.serving))
 }
 
-// serveHTTP serves a handler until the server is closed.
+// serveHTTP starts a server for handler and returns it.
 func (f *Forwarder) serveHTTP(name string, at netip.AddrPort, handler http.Handler) (*http.Server, error) {
 	listener, err := net.Listen("tcp4", at.String())
 	if err != nil {
@@ -44,9 +44,10 @@
 	return server, nil
 }
 
-// source returns where publications are read: other instances and the platform,
-// or the platform alone when no interface between instances is set.
-func (f *Forwarder) source(ctx context.Context) (follow.Source, error) {
+// startSource returns the source of updates: other instances and the platform, or the
+// platform alone if no interface between instances is configured. With such an
+// interface it also starts the server and the announcements.
+func (f *Forwarder) startSource(ctx context.Context) (follow.Source, error) {
 	timing := follow.TimingFor(f.settings.ApplyWithin)
 	store := follow.Paced(platform.NewStore(f.settings.Platform.String()), timing.Interval)
 	if !f.settings.Control.IsValid() {
@@ -66,12 +67,12 @@
 		MaxAge:          timing.Wait + timing.Timeout,
 		Log:             f.log,
 		ConfigVersion:   f.state.Version,
-		OnInstanceCount: func(n int) { f.run(ctx, func() { f.core.SetInstances(n) }) },
+		OnInstanceCount: func(n int) { f.submit(ctx, func() { f.core.SetInstances(n) }) },
 		OnRead:          f.metrics.countRead,
 	})
-	f.peers = source
+	f.fanoutSource = source
 	announce, leave := context.WithCancel(ctx)
-	f.leave = leave
+	f.stopAnnouncing = leave
 	go source.Announce(announce)
 	return source, nil
 }
--- a/internal/forwarder/memory.go
+++ b/internal/forwarder/memory.go
@@ -8,44 +8,45 @@
 )
 
 const (
-	// controlHeap is the memory, in bytes, that the Go runtime may use while less
-	// is alive. What is published at the target size keeps 22 MB alive, and control
-	// may take 64 MB there: with the collector's usual reserve of as much again, and
-	// what a full read leaves behind, a process peaked at 103 MB.
-	controlHeap = 38 << 20
-	// heapReserve is the least limit, as a factor of what is alive: closer to that
-	// the collector would run all the time.
-	heapReserve = 1.5
-	// heapCheck is the interval at which the limit is adapted.
-	heapCheck = time.Second
-	// liveHeap is the name of the figure of the runtime.
-	liveHeap = "/gc/heap/live:bytes"
+	// baseHeapLimit is the minimum memory limit of the Go runtime in bytes. At the
+	// target size the published state keeps a live heap of 22 MB, and the control
+	// functions may use 64 MB. With the default garbage collector target, which lets
+	// the heap double, and the garbage of a full read, a process peaked at 103 MB.
+	baseHeapLimit = 38 << 20
+	// heapHeadroom is the minimum ratio of the limit to the live heap. With a lower
+	// limit the garbage collector would run continuously.
+	heapHeadroom = 1.5
+	// heapCheckInterval is the interval at which the limit is adapted.
+	heapCheckInterval = time.Second
+	// liveHeapMetric is the name of the runtime metric of the live heap size.
+	liveHeapMetric = "/gc/heap/live:bytes"
 )
 
-// limitHeap keeps the memory of the process close to what is alive, until ctx ends.
+// limitHeap adapts the memory limit of the Go runtime to the size of the live heap
+// until ctx ends.
 func (f *Forwarder) limitHeap(ctx context.Context) {
-	sample := []runtimemetrics.Sample{{Name: liveHeap}}
-	set := int64(0)
+	sample := []runtimemetrics.Sample{{Name: liveHeapMetric}}
+	current := int64(0)
 	for {
 		runtimemetrics.Read(sample)
-		if limit := heapLimit(int64(sample[0].Value.Uint64()), f.settings.MemoryBytes); limit != set {
+		if limit := heapLimit(int64(sample[0].Value.Uint64()), f.settings.MemoryBytes); limit != current {
 			debug.SetMemoryLimit(limit)
-			set = limit
+			current = limit
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(heapCheck):
+		case <-time.After(heapCheckInterval):
 		}
 	}
 }
 
-// heapLimit returns the limit for a live heap, in bytes, of a process that may
-// take process bytes, or any number if that is 0.
+// heapLimit returns the memory limit in bytes for a live heap of the given size.
+// process is the memory limit of the process, 0 for none.
 func heapLimit(live, process int64) int64 {
-	limit := max(controlHeap, int64(heapReserve*float64(live)))
+	limit := max(baseHeapLimit, int64(heapHeadroom*float64(live)))
 	if process > 0 {
-		limit = min(limit, process/2) // the rest is for sockets and the code
+		limit = min(limit, process/2) // the other half is for socket buffers and code
 	}
 	return limit
 }
--- a/internal/forwarder/metrics.go
+++ b/internal/forwarder/metrics.go
@@ -8,18 +8,17 @@
 	"arbutusdock.example/arbutusdock/internal/passthrough"
 )
 
-// metrics are the counters and histograms of an instance, in the format that
-// Prometheus reads. Times are in seconds.
+// metrics holds the Prometheus metrics of an instance. Durations are in seconds.
 type metrics struct {
-	registry                           *prometheus.Registry
-	malformed, readErrors, writeErrors prometheus.Counter
-	suspected, trusted, lapsed         prometheus.Counter
-	packets                            [passthrough.Reasons]prometheus.Counter
-	adopted, stalled                   prometheus.Counter
-	forwarding, answered, served       prometheus.Histogram
-	calls, checks                      *prometheus.CounterVec
-	version, newsAge, flows, flowBytes prometheus.Gauge
-	targets                            *prometheus.GaugeVec
+	registry                                 *prometheus.Registry
+	malformed, readErrors, writeErrors       prometheus.Counter
+	suspected, trusted, lapsed               prometheus.Counter
+	packets                                  [passthrough.Reasons]prometheus.Counter
+	adopted, repeatedData                    prometheus.Counter
+	forwardingTime, openingTime, requestTime prometheus.Histogram
+	reads, checks                            *prometheus.CounterVec
+	version, stateAge, flows, flowBytes      prometheus.Gauge
+	targets                                  *prometheus.GaugeVec
 }
 
 func newMetrics(f *Forwarder) *metrics {
@@ -34,7 +33,7 @@
 		m.registry.MustRegister(h)
 		return h
 	}
-	gauge := func(name, help string, read func() float64) {
+	gaugeFunc := func(name, help string, read func() float64) {
 		m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "arbutusdock_" + name, Help: help}, read))
 	}
 	m.malformed = counter("malformed_datagrams_total", "Datagrams that are not packets.")
@@ -44,59 +43,59 @@
 	m.trusted = counter("targets_trusted_total", "Times that a suspected target showed that it is alive.")
 	m.lapsed = counter("targets_lapsed_total", "Records missing after an outage of the platform.")
 	m.adopted = counter("flows_adopted_total", "Flows that came from another instance.")
-	m.stalled = counter("repeated_data_packets_total", "Packets with request data that the caller repeats.")
+	m.repeatedData = counter("repeated_data_packets_total", "Packets with request data that the caller repeats.")
 	packets := prometheus.NewCounterVec(prometheus.CounterOpts{Name: "arbutusdock_packets_total", Help: "Packets of callers by the input that decided."}, []string{"reason"})
 	m.registry.MustRegister(packets)
 	for r := range passthrough.Reason(passthrough.Reasons) {
 		m.packets[r] = packets.WithLabelValues(r.String())
 	}
-	m.calls = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "arbutusdock_news_total", Help: "Reads of what is published, by source and result."}, []string{"source", "result"})
+	m.reads = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "arbutusdock_news_total", Help: "Reads of what is published, by source and result."}, []string{"source", "result"})
 	m.checks = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "arbutusdock_checks_total", Help: "Health checks of suspected targets by result."}, []string{"result"})
-	m.registry.MustRegister(m.calls, m.checks)
-	m.forwarding = histogram("forwarding_seconds", "Time from reading a packet to having sent it.", 1e-6, 16)
-	m.answered = histogram("opening_seconds", "Time from an opening packet to the caller's next packet.", 1e-3, 12)
-	m.served = histogram("request_seconds", "Time from a request to the first acknowledged byte of its answer.", 1e-3, 14)
-	set := func(name, help string) prometheus.Gauge {
+	m.registry.MustRegister(m.reads, m.checks)
+	m.forwardingTime = histogram("forwarding_seconds", "Time from reading a packet to having sent it.", 1e-6, 16)
+	m.openingTime = histogram("opening_seconds", "Time from an opening packet to the caller's next packet.", 1e-3, 12)
+	m.requestTime = histogram("request_seconds", "Time from a request to the first acknowledged byte of its answer.", 1e-3, 14)
+	newGauge := func(name, help string) prometheus.Gauge {
 		g := prometheus.NewGauge(prometheus.GaugeOpts{Name: "arbutusdock_" + name, Help: help})
 		m.registry.MustRegister(g)
 		return g
 	}
-	m.version = set("config_version", "Version of the configuration in force, 0 for none.")
-	m.newsAge = set("news_age_seconds", "Time since what is published was last known to be complete.")
-	m.flows = set("flows", "Flows remembered.")
-	m.flowBytes = set("flows_bytes", "Memory of the flows remembered.")
+	m.version = newGauge("config_version", "Version of the configuration in force, 0 for none.")
+	m.stateAge = newGauge("news_age_seconds", "Time since what is published was last known to be complete.")
+	m.flows = newGauge("flows", "Flows remembered.")
+	m.flowBytes = newGauge("flows_bytes", "Memory of the flows remembered.")
 	m.targets = prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "arbutusdock_targets", Help: "Targets by lifecycle; suspected ones count once more."}, []string{"state"})
 	m.registry.MustRegister(m.targets)
-	gauge("ready", "1 while the instance is in rotation.", func() float64 {
+	gaugeFunc("ready", "1 while the instance is in rotation.", func() float64 {
 		if f.serving() {
 			return 1
 		}
 		return 0
 	})
-	gauge("log_lines_dropped", "Log lines lost since nobody read them.", func() float64 { return float64(f.out.Stats().Dropped) })
-	gauge("commands_dropped", "Updates that found the ring full; they are repeated.", func() float64 { return float64(f.commands.Stats().Dropped) })
+	gaugeFunc("log_lines_dropped", "Log lines lost since nobody read them.", func() float64 { return float64(f.logWriter.Stats().Dropped) })
+	gaugeFunc("commands_dropped", "Updates that found the ring full; they are repeated.", func() float64 { return float64(f.commands.Stats().Dropped) })
 	return m
 }
 
-// record counts a decision that took a time.
+// record updates the metrics for a decision and the time that it took.
 func (m *metrics) record(d *passthrough.Decision, took time.Duration) {
 	m.packets[d.Reason].Inc()
-	m.forwarding.Observe(took.Seconds())
+	m.forwardingTime.Observe(took.Seconds())
 	if d.Adopted {
 		m.adopted.Inc()
 	}
 	if d.Stalled > 0 {
-		m.stalled.Inc()
+		m.repeatedData.Inc()
 	}
 	if d.Answered > 0 {
-		m.answered.Observe(d.Answered.Seconds())
+		m.openingTime.Observe(d.Answered.Seconds())
 	}
 	if d.Served > 0 {
-		m.served.Observe(d.Served.Seconds())
+		m.requestTime.Observe(d.Served.Seconds())
 	}
 }
 
-func (m *metrics) suspicion(kind passthrough.EventKind) {
+func (m *metrics) countEvent(kind passthrough.EventKind) {
 	switch kind {
 	case passthrough.TargetSuspected:
 		m.suspected.Inc()
@@ -107,19 +106,19 @@
 	}
 }
 
-// countRead counts a read of what is published.
+// countRead counts a read of updates by its source and result.
 func (m *metrics) countRead(source string, err error) {
 	result := "ok"
 	if err != nil {
 		result = "failed"
 	}
-	m.calls.WithLabelValues(source, result).Inc()
+	m.reads.WithLabelValues(source, result).Inc()
 }
 
-// show sets the gauges of what the core believes.
-func (m *metrics) show(s *passthrough.Snapshot, newsAge time.Duration) {
+// setGauges sets the gauges from a snapshot of the core.
+func (m *metrics) setGauges(s *passthrough.Snapshot, stateAge time.Duration) {
 	m.version.Set(float64(s.Version))
-	m.newsAge.Set(newsAge.Seconds())
+	m.stateAge.Set(stateAge.Seconds())
 	m.flows.Set(float64(s.Flows))
 	m.flowBytes.Set(float64(s.Flows * passthrough.FlowBytes))
 	m.targets.Reset()
--- a/internal/forwarder/report.go
+++ b/internal/forwarder/report.go
@@ -8,72 +8,72 @@
 )
 
 const (
-	// placementLines is the number of lines a second about ordinary placements. A
-	// line costs about 11 us (BenchmarkLogDecision) and a system call; 20 a second
-	// took logging to 8 to 12% of the processor time on small deployments.
+	// placementLines is the maximum number of log lines a second about ordinary
+	// placements. A line costs about 11 us (BenchmarkLogDecision) and a system call;
+	// with 20 a second, logging used 8 to 12% of the CPU time in small deployments.
 	placementLines = 2
-	// exceptionLines is the number of lines a second about decisions that depart
-	// from the ordinary.
+	// exceptionLines is the maximum number of log lines a second about all other
+	// decisions.
 	exceptionLines = 100
 )
 
-// limiter admits a number of lines a second and counts those left out.
-type limiter struct {
-	rate     int
-	window   ids.Time // start of the present second
-	admitted int
-	left     int // left out in the present second
+// lineLimiter limits the number of log lines a second and counts the suppressed ones.
+type lineLimiter struct {
+	rate        int
+	windowStart ids.Time // start of the current second
+	admitted    int
+	suppressed  int // lines suppressed in the current second
 }
 
-// admit reports whether a line may be written. When a new second begins it
-// returns the number of lines that the last one left out.
-func (l *limiter) admit(now ids.Time) (ok bool, left int) {
-	if now.Sub(l.window) >= time.Second {
-		left = l.left
-		l.window, l.admitted, l.left = now, 0, 0
+// admit reports whether a line may be written. At the start of a new second it also
+// returns the number of lines suppressed in the previous one.
+func (l *lineLimiter) admit(now ids.Time) (ok bool, suppressed int) {
+	if now.Sub(l.windowStart) >= time.Second {
+		suppressed = l.suppressed
+		l.windowStart, l.admitted, l.suppressed = now, 0, 0
 	}
 	if l.admitted >= l.rate {
-		l.left++
-		return false, left
+		l.suppressed++
+		return false, suppressed
 	}
 	l.admitted++
-	return true, left
+	return true, suppressed
 }
 
-// logDecision writes a line for a decision about a flow. What identifies a flow
-// for an instance is all that it can read: both ends and the position of the
-// packet. Of flows that are known here only packets are logged whose data the
-// caller repeats.
+// logDecision logs a decision about a flow. It identifies the flow by all that an
+// instance can read in a packet: both endpoints and the sequence number. For flows in
+// the flow table of this instance it logs only packets with retransmitted request data
+// and flows adopted from another instance.
 func (f *Forwarder) logDecision(now ids.Time, p *passthrough.Packet, d *passthrough.Decision) {
-	l := &f.exceptions
+	l := &f.exceptionLimiter
 	switch {
 	case d.Reason == passthrough.Placed:
-		l = &f.placements
+		l = &f.placementLimiter
 	case d.Reason == passthrough.Known && !d.Adopted && d.Stalled == 0:
 		return
 	}
-	ok, left := l.admit(now)
-	if left > 0 {
-		f.log.Warn("lines-left-out", "lines", left, "limit_per_second", l.rate)
+	ok, suppressed := l.admit(now)
+	if suppressed > 0 {
+		f.log.Warn("lines-left-out", "lines", suppressed, "limit_per_second", l.rate)
 	}
 	if !ok {
 		return
 	}
 	f.log.Info("flow", "decision", d.Reason.String(), "verdict", d.Verdict.String(), "caller", p.Flow.Caller, "to", p.Flow.Service,
-		"seq", p.Seq, "copy", copyNumber(p), "cookie", uint32(p.Cookie), "service", d.Service, "target", d.Target,
+		"seq", p.Seq, "copy", openingAttempt(p), "cookie", uint32(p.Cookie), "service", d.Service, "target", d.Target,
 		"busy", d.Busy, "remote", d.Remote, "adopted", d.Adopted, "stalled", d.Stalled.Round(time.Millisecond), "version", f.core.Version(), "news_age", now.Sub(f.updatedAt).Round(time.Millisecond))
 }
 
-// copyNumber returns which copy of an opening packet p is, 0 for the first and
-// for other packets.
-func copyNumber(p *passthrough.Packet) uint32 {
+// openingAttempt returns the number of the transmission of an opening packet: 0 for the
+// first one and for packets of other kinds. The caller sends it in the Ack field.
+func openingAttempt(p *passthrough.Packet) uint32 {
 	if p.Flags.Has(passthrough.SYN) {
 		return p.Ack
 	}
 	return 0
 }
 
-// logEvents writes a line for each change of what the core believes.
+// logEvents logs the state changes that the core has recorded since the last call.
 func (f *Forwarder) logEvents() {
 	f.core.Events(func(e passthrough.Event) {
 		switch e.Kind {
@@ -82,7 +82,7 @@
 		case passthrough.TargetChanged:
 			f.log.Info(e.Kind.String(), "target", e.Target, "service", e.Service, "state", e.Reason, "address", e.Address)
 		default:
-			f.metrics.suspicion(e.Kind)
+			f.metrics.countEvent(e.Kind)
 			f.log.Info(e.Kind.String(), "target", e.Target, "service", e.Service, "reason", e.Reason, "age", e.Age)
 		}
 	})
--- a/internal/forwarder/trace.go
+++ b/internal/forwarder/trace.go
@@ -8,8 +8,8 @@
 	"arbutusdock.example/arbutusdock/internal/telemetry"
 )
 
-// trace records a span for each step of a sampled flow. All instances sample
-// the same flows, and spans of one flow share a trace.
+// trace records a span if a decision marks a step of a sampled flow. All instances
+// sample the same flows, and the spans of a flow belong to the same trace.
 func (f *Forwarder) trace(p *passthrough.Packet, d *passthrough.Decision) {
 	name, took := hopOf(d)
 	if name == "" || !f.tracer.Sampled(p.Flow.Hash()) {
@@ -21,8 +21,8 @@
 	})
 }
 
-// hopOf names the step of a flow that a decision shows, and the time that it
-// took. Packets within a step have no name.
+// hopOf returns the name of the step of a flow that a decision completes, and its
+// duration. The name is empty for packets that complete no step.
 func hopOf(d *passthrough.Decision) (string, time.Duration) {
 	switch {
 	case d.Reason != passthrough.Known:
