--- a/internal/httpget/httpget.go
+++ b/internal/httpget/httpget.go
@@ -1,6 +1,5 @@
-// Package httpget reads JSON from an HTTP server with a bounded time and size.
-// All reads from the users' platform and from the configuration service go
-// through it.
+// Package httpget reads JSON from an HTTP server with limits on time and size. It is
+// used for all reads from the users' platform and from the configuration service.
 package httpget
 
 import (
@@ -17,22 +16,22 @@
 	"arbutusdock.example/arbutusdock/internal/progress"
 )
 
-// ErrTooLarge is the error of a response that exceeds the size limit.
+// ErrTooLarge is returned for a response that exceeds the size limit.
 var ErrTooLarge = eris.New("response exceeds the size limit")
 
-// StatusError is a response with a status other than 200.
+// StatusError is the error for a response with a status other than 200.
 type StatusError struct{ Status int }
 
 func (e *StatusError) Error() string {
 	return fmt.Sprintf("status %d %s", e.Status, http.StatusText(e.Status))
 }
 
-// bodyPause bounds the pauses within a body. A server in reach sends at least a
-// segment in this time.
-const bodyPause = 500 * time.Millisecond
+// bodyStallTimeout bounds the time for which the transfer of a body may stall. A
+// reachable server sends at least one segment within it.
+const bodyStallTimeout = 500 * time.Millisecond
 
-// connectTimeout bounds the opening of a connection. A server behind a
-// partition does not respond at all; one in reach answers in milliseconds.
+// connectTimeout bounds the set-up of a connection. A reachable server accepts within
+// milliseconds; one behind a network partition does not respond at all.
 const connectTimeout = 700 * time.Millisecond
 
 // Client reads from one base URL. It is safe for concurrent use.
@@ -42,8 +41,8 @@
 	http    *http.Client
 }
 
-// New returns a client for base, an http or https URL without a trailing
-// slash. maxBody bounds a response, in bytes.
+// New returns a client for base, an http or https URL without a trailing slash.
+// maxBody is the maximum size of a response body in bytes.
 func New(base string, maxBody int64) *Client {
 	return &Client{
 		base:    base,
@@ -59,16 +58,17 @@
 	}
 }
 
-// BaseURL returns the base URL, for errors and logs.
+// BaseURL returns the base URL, for error messages and logs.
 func (c *Client) BaseURL() string { return c.base }
 
-// Get reads path, which may have a query, into body. The response begins within
-// timeout; a body takes as long as it makes progress, so that a large one over a
-// slow link is not given up and begun again. A connection on which a call fails is
-// not used again, since it may have gone silent. The error is
-// context.DeadlineExceeded for a response that does not begin or goes silent, a
-// *StatusError for a status other than 200, ErrTooLarge for a response above the
-// size limit, or that of the connection or the decoder; it names the server.
+// Get requests path, which may include a query, and decodes the response into body.
+// The response must begin within timeout. The transfer of the body may then take any
+// time as long as it makes progress, so that a large one over a slow link is not
+// aborted and restarted. A connection on which a request fails is not reused, since it
+// may have become unresponsive. The error is context.DeadlineExceeded for a response
+// that does not begin or stalls, a *StatusError for a status other than 200,
+// ErrTooLarge for a response above the size limit, or the error of the connection or
+// the decoder. All but ErrTooLarge name the server.
 func (c *Client) Get(ctx context.Context, path string, timeout time.Duration, body any) error {
 	ctx, monitor, stop := progress.Watch(ctx, timeout)
 	defer stop()
@@ -80,11 +80,11 @@
 	if err != nil {
 		return eris.Wrapf(err, "read from %s", c.base)
 	}
-	defer func() { _ = response.Body.Close() }() // the body has been read or is given up
+	defer func() { _ = response.Body.Close() }() // the body has been read or is discarded
 	if response.StatusCode != http.StatusOK {
 		return eris.Wrapf(&StatusError{response.StatusCode}, "read from %s", c.base)
 	}
-	monitor.Begin(bodyPause)
+	monitor.Begin(bodyStallTimeout)
 	data, err := io.ReadAll(io.LimitReader(monitor.Reader(response.Body), c.maxBody+1))
 	if err != nil {
 		return eris.Wrapf(err, "read body from %s", c.base)
--- a/internal/httpget/httpget_test.go
+++ b/internal/httpget/httpget_test.go
@@ -13,9 +13,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a response that is too large, late, redirected, of another status
-// or not JSON and is taken for an answer, against errors that do not name the
-// server, and against a body that is given up while it comes in.
+// Guards against accepting a response that is too large, late, redirected, of another
+// status or not JSON, against errors that do not name the server, and against aborting
+// the transfer of a body while it makes progress.
 func TestGet(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
@@ -29,7 +29,7 @@
 			http.Redirect(w, r, "/good", http.StatusFound)
 		case "/slow":
 			<-r.Context().Done()
-		case "/piecemeal": // longer than the time for a response to begin
+		case "/piecemeal": // takes longer than the timeout for the start of a response
 			for _, piece := range []string{`{"pad":"`, strings.Repeat("x", 50), `",`, `"n":`, `7}`} {
 				_, _ = io.WriteString(w, piece)
 				_ = http.NewResponseController(w).Flush()
--- a/internal/progress/progress.go
+++ b/internal/progress/progress.go
@@ -1,6 +1,6 @@
-// Package progress bounds transfers by their progress in place of their whole
-// time: a large one over a slow link may take long, and one that has gone silent
-// is given up soon.
+// Package progress bounds data transfers by their progress instead of their total
+// time: a large transfer over a slow link may take long, while one that stalls is
+// aborted soon.
 package progress
 
 import (
@@ -9,22 +9,22 @@
 	"time"
 )
 
-// MinRate is the rate, in bytes a second, below which a transfer is given up: half
-// of a link of 1 Mbit/s.
+// MinRate is the average rate, in bytes per second, below which a transfer is aborted:
+// half the rate of a 1 Mbit/s link.
 const MinRate = 64 << 10
 
-// Monitor ends a context when a transfer makes no progress. It is not safe for
+// Monitor cancels a context when a transfer makes no progress. It is not safe for
 // concurrent use.
 type Monitor struct {
-	pause time.Duration
-	began time.Time
-	moved int
-	timer *time.Timer
+	maxPause    time.Duration
+	start       time.Time
+	transferred int
+	timer       *time.Timer
 }
 
-// Watch returns a context that ends with context.DeadlineExceeded as its cause
-// when first passes without a call of Begin, or as Begin says. stop releases its
-// resources.
+// Watch returns a context and its monitor. The context is cancelled with
+// context.DeadlineExceeded as its cause when Begin is not called within first, or when
+// the transfer then stalls as described at Begin. stop releases the resources.
 func Watch(parent context.Context, first time.Duration) (ctx context.Context, m *Monitor, stop func()) {
 	ctx, cancel := context.WithCancelCause(parent)
 	m = &Monitor{timer: time.AfterFunc(first, func() { cancel(context.DeadlineExceeded) })}
@@ -34,21 +34,21 @@
 	}
 }
 
-// Begin tells that the transfer begins. From now on it may not pause for longer
-// than pause, and falls behind MinRate for no longer than that.
+// Begin marks the start of the transfer. From now on the transfer may stall, or lag
+// behind MinRate, for at most pause.
 func (m *Monitor) Begin(pause time.Duration) {
-	m.pause, m.began, m.moved = pause, time.Now(), 0
+	m.maxPause, m.start, m.transferred = pause, time.Now(), 0
 	m.timer.Reset(pause)
 }
 
-// Transferred tells that n more bytes were transferred.
+// Transferred records that n more bytes were transferred.
 func (m *Monitor) Transferred(n int) {
-	m.moved += n
-	due := m.pause + time.Duration(m.moved)*time.Second/MinRate - time.Since(m.began)
-	m.timer.Reset(max(min(m.pause, due), 0))
+	m.transferred += n
+	due := m.maxPause + time.Duration(m.transferred)*time.Second/MinRate - time.Since(m.start)
+	m.timer.Reset(max(min(m.maxPause, due), 0))
 }
 
-// Reader returns a reader of r that tells m what is read.
+// Reader returns a reader of r that records the transferred bytes in m.
 func (m *Monitor) Reader(r io.Reader) io.Reader { return &reader{r, m} }
 
 type reader struct {
--- a/internal/progress/progress_test.go
+++ b/internal/progress/progress_test.go
@@ -9,39 +9,38 @@
 )
 
 const (
-	pause = 300 * time.Millisecond
-	piece = MinRate / 10 // a tenth of a second's worth
+	maxPause   = 300 * time.Millisecond
+	chunkBytes = MinRate / 10 // transferred in a tenth of a second at MinRate
 )
 
-// ended reports whether ctx has ended for want of progress.
-func ended(ctx context.Context) bool { return context.Cause(ctx) == context.DeadlineExceeded }
+// stalled reports whether ctx was cancelled for lack of progress.
+func stalled(ctx context.Context) bool { return context.Cause(ctx) == context.DeadlineExceeded }
 
-// Guards against a transfer that is given up although it moves on, however long it
-// takes, and against one that is not given up when it stops, never begins or
-// trickles.
+// Guards against aborting a long transfer that makes progress, and against not aborting
+// one that stops, never begins or is slower than MinRate.
 func TestMonitor(t *testing.T) {
-	ctx, m, stop := Watch(context.Background(), pause)
+	ctx, m, stop := Watch(context.Background(), maxPause)
 	defer stop()
-	m.Begin(pause)
+	m.Begin(maxPause)
 	for range 10 {
-		time.Sleep(pause / 3)
-		m.Transferred(piece)
+		time.Sleep(maxPause / 3)
+		m.Transferred(chunkBytes)
 	}
-	assert.Assert(t, !ended(ctx), "it moved on")
-	time.Sleep(2 * pause)
-	assert.Assert(t, ended(ctx), "it has stopped")
+	assert.Assert(t, !stalled(ctx), "it moved on")
+	time.Sleep(2 * maxPause)
+	assert.Assert(t, stalled(ctx), "it has stopped")
 
-	never, _, stop := Watch(context.Background(), pause)
+	never, _, stop := Watch(context.Background(), maxPause)
 	defer stop()
-	time.Sleep(2 * pause)
-	assert.Assert(t, ended(never), "it has not begun")
+	time.Sleep(2 * maxPause)
+	assert.Assert(t, stalled(never), "it has not begun")
 
-	trickle, m, stop := Watch(context.Background(), pause)
+	trickle, m, stop := Watch(context.Background(), maxPause)
 	defer stop()
-	m.Begin(pause)
+	m.Begin(maxPause)
 	for range 10 {
-		time.Sleep(pause / 3)
+		time.Sleep(maxPause / 3)
 		m.Transferred(1)
 	}
-	assert.Assert(t, ended(trickle), "it trickles")
+	assert.Assert(t, stalled(trickle), "it trickles")
 }
