--- a/internal/admission/table.go
+++ b/internal/admission/table.go
@@ -7,23 +7,23 @@
 )
 
 const (
-	// FreshFor is the age up to which a token admits a request.
-	FreshFor = 10 * time.Second
-	// KnownFor is the age up to which the absence of an entry proves that
+	// TokenLifetime is the age up to which a token admits a request.
+	TokenLifetime = 10 * time.Second
+	// NotRunWindow is the age up to which the absence of an entry proves that
 	// nothing has run under a token.
-	KnownFor = 240 * time.Second
-	// KeepFor is the time from admission to eviction. It exceeds
-	// EXCHANGE_LIFETIME (247 s, RFC 7252 section 4.8.2) and KnownFor plus the
+	NotRunWindow = 240 * time.Second
+	// EntryLifetime is the time from admission to eviction. It exceeds
+	// EXCHANGE_LIFETIME (247 s, RFC 7252 section 4.8.2) and NotRunWindow plus the
 	// greatest clock error.
-	KeepFor = 300 * time.Second
-	// MaxSkew is the greatest clock error of an issuer. A token from further
+	EntryLifetime = 300 * time.Second
+	// MaxClockSkew is the greatest clock error of an issuer. A token from further
 	// in the future could outlive its entry.
-	MaxSkew = 30 * time.Second
+	MaxClockSkew = 30 * time.Second
 
-	// MaxEntries and MaxBytes are the default Limits: 300 s of 218 admissions a
+	// DefaultMaxEntries and DefaultMaxBytes are the default Limits: 300 s of 218 admissions a
 	// second, three times the new flows per node of the target size.
-	MaxEntries = 1 << 16
-	MaxBytes   = 24 << 20
+	DefaultMaxEntries = 1 << 16
+	DefaultMaxBytes   = 24 << 20
 )
 
 // Limits bound the memory of a table. An instance that admits n requests a
@@ -34,7 +34,7 @@
 }
 
 // DefaultLimits suit the target size of docs/design.md.
-var DefaultLimits = Limits{MaxEntries, MaxBytes}
+var DefaultLimits = Limits{DefaultMaxEntries, DefaultMaxBytes}
 
 // State is the state of an admitted request.
 type State uint8
@@ -75,7 +75,7 @@
 }
 
 // moved is the state of an incarnation whose table was handed over.
-type moved struct {
+type importState struct {
 	offset   time.Duration // its clock minus the own clock
 	parts    map[uint32]bool
 	last     uint32
@@ -88,23 +88,23 @@
 //
 // Invariants: an ID is returned with Admit at most once; it is entered before
 // Admit returns; while an ID is not entered and its token is younger than
-// KnownFor, nothing has run under it.
+// NotRunWindow, nothing has run under it.
 type Table struct {
-	self    ids.Incarnation
-	limits  Limits
-	closed  bool
-	entries map[ID]*Entry
-	order   []*Entry // ring in order of entry
-	head    int
-	length  int
-	free    []*Entry
-	bytes   int
-	moved   map[ids.Incarnation]*moved
+	self          ids.Incarnation
+	limits        Limits
+	closed        bool
+	entries       map[ID]*Entry
+	ring          []*Entry // ring in order of entry
+	head          int
+	length        int
+	freeEntries   []*Entry
+	responseBytes int
+	imports       map[ids.Incarnation]*importState
 }
 
 // NewTable returns the table of incarnation self with the default limits.
 func NewTable(self ids.Incarnation) *Table {
-	return &Table{self: self, limits: DefaultLimits, entries: make(map[ID]*Entry), moved: make(map[ids.Incarnation]*moved)}
+	return &Table{self: self, limits: DefaultLimits, entries: make(map[ID]*Entry), imports: make(map[ids.Incarnation]*importState)}
 }
 
 // SetLimits replaces the limits. Entries above a lower limit stay.
@@ -116,16 +116,16 @@
 // Close ends admission for good.
 func (t *Table) Close() { t.closed = true }
 
-// Crowded reports whether no further tokens that name this table should be
+// MintingSuspended reports whether no further tokens that name this table should be
 // minted: the rest is kept for the tokens that have been.
-func (t *Table) Crowded() bool { return t.closed || t.length > t.limits.Entries/10*9 }
+func (t *Table) MintingSuspended() bool { return t.closed || t.length > t.limits.Entries/10*9 }
 
-// Answers reports whether this table decides for incarnation i.
-func (t *Table) Answers(i ids.Incarnation) bool {
+// AuthoritativeFor reports whether this table decides for incarnation i.
+func (t *Table) AuthoritativeFor(i ids.Incarnation) bool {
 	if i == t.self {
 		return true
 	}
-	m := t.moved[i]
+	m := t.imports[i]
 	return m != nil && m.complete
 }
 
@@ -142,26 +142,26 @@
 	}
 	clock, open := now, !t.closed
 	if tok.Incarnation != t.self {
-		clock, open = now.Add(t.moved[tok.Incarnation].offset), false
+		clock, open = now.Add(t.imports[tok.Incarnation].offset), false
 	}
 	age := clock.Sub(ids.Time(tok.IssuedMS) * ids.Time(time.Millisecond))
 	switch {
-	case age < -MaxSkew || age > KnownFor:
+	case age < -MaxClockSkew || age > NotRunWindow:
 		return nil, OutcomeUnknown
-	case age > FreshFor || !open:
+	case age > TokenLifetime || !open:
 		return nil, NotRun
 	case t.length >= t.limits.Entries:
 		// "Not run" would be wrong if the same datagram came again after an
 		// eviction, so nothing is said.
 		return nil, OutcomeUnknown
 	}
-	return t.enter(id, digest, now), Admit
+	return t.insert(id, digest, now), Admit
 }
 
-func (t *Table) enter(id ID, digest uint64, admitted ids.Time) *Entry {
+func (t *Table) insert(id ID, digest uint64, admitted ids.Time) *Entry {
 	var e *Entry
-	if n := len(t.free); n > 0 {
-		e, t.free = t.free[n-1], t.free[:n-1]
+	if n := len(t.freeEntries); n > 0 {
+		e, t.freeEntries = t.freeEntries[n-1], t.freeEntries[:n-1]
 	} else {
 		e = new(Entry)
 	}
@@ -183,12 +183,12 @@
 	if s != Answered {
 		return
 	}
-	if t.bytes+len(response) > t.limits.Bytes {
+	if t.responseBytes+len(response) > t.limits.Bytes {
 		e.State = Unknown
 		return
 	}
 	e.Response = append(e.Response, response...)
-	t.bytes += len(e.Response)
+	t.responseBytes += len(e.Response)
 }
 
 // Running returns the number of admitted requests without an outcome.
@@ -202,32 +202,32 @@
 	return n
 }
 
-// Evict removes the entries older than KeepFor, at most max of them. Entries
+// Evict removes the entries older than EntryLifetime, at most max of them. Entries
 // are examined in order of entry, so one that was handed over may stay longer.
 func (t *Table) Evict(now ids.Time, max int) {
 	for ; max > 0 && t.length > 0; max-- {
 		e := t.at(0)
-		if now.Sub(e.Admitted) <= KeepFor {
+		if now.Sub(e.Admitted) <= EntryLifetime {
 			return
 		}
-		t.head = (t.head + 1) % len(t.order)
+		t.head = (t.head + 1) % len(t.ring)
 		t.length--
-		t.bytes -= len(e.Response)
+		t.responseBytes -= len(e.Response)
 		delete(t.entries, e.ID)
-		t.free = append(t.free, e)
+		t.freeEntries = append(t.freeEntries, e)
 	}
 }
 
-func (t *Table) at(i int) *Entry { return t.order[(t.head+i)%len(t.order)] }
+func (t *Table) at(i int) *Entry { return t.ring[(t.head+i)%len(t.ring)] }
 
 func (t *Table) push(e *Entry) {
-	if t.length == len(t.order) {
-		grown := make([]*Entry, max(64, 2*len(t.order)))
+	if t.length == len(t.ring) {
+		grown := make([]*Entry, max(64, 2*len(t.ring)))
 		for i := range t.length {
 			grown[i] = t.at(i)
 		}
-		t.order, t.head = grown, 0
+		t.ring, t.head = grown, 0
 	}
-	t.order[(t.head+t.length)%len(t.order)] = e
+	t.ring[(t.head+t.length)%len(t.ring)] = e
 	t.length++
 }
--- a/internal/forwarder/check.go
+++ b/internal/forwarder/check.go
@@ -33,7 +33,7 @@
 	_, ok := f.checker.pool.TrySubmit(func() {
 		result := platform.CheckHealth(ctx, k, checkTimeout)
 		f.metrics.checks.WithLabelValues(result.String()).Inc()
-		f.submit(ctx, func() { f.core.Checked(f.clock.now(), k, start, result) })
+		f.submit(ctx, func() { f.core.ReportCheck(f.clock.now(), k, start, result) })
 	})
 	if !ok {
 		f.log.Warn("check-left-out", "target", k.Target) // the core requests it again at the next suspicion
