--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -22,13 +22,13 @@
 // requested revision, or has too many of them for one response.
 var ErrHistoryLost = eris.New("history of changes is lost")
 
-// Target is the record of a target or its removal.
+// Target is the published record of a backend server, or its removal.
 type Target struct {
 	Name     string `cbor:"1,keyasint,omitempty"`
 	Revision uint64 `cbor:"2,keyasint,omitempty"` // revision of its last change
 	Removed  bool   `cbor:"3,keyasint,omitempty"`
-	// Unreadable is set, together with Removed, when the entry of the target exists
-	// but cannot be decoded. The target may be alive.
+	// Unreadable is set, together with Removed, when the entry of the backend server
+	// exists but cannot be decoded. The server may be alive.
 	Unreadable bool                     `cbor:"4,keyasint,omitempty"`
 	Record     passthrough.TargetRecord `cbor:"5,keyasint,omitempty"`
 }
@@ -46,7 +46,7 @@
 	Revision uint64              `cbor:"2,keyasint,omitempty"` // revision up to which the update is complete
 	Config   *passthrough.Config `cbor:"3,keyasint,omitempty"`
 	Targets  []*Target           `cbor:"4,keyasint,omitempty"` // in the order of their changes; shared, must not be modified
-	Invalid  []InvalidEntry      `cbor:"-"`                    // logged by the instance that read them
+	Invalid  []InvalidEntry      `cbor:"-"`                    // entries that could not be decoded; logged by the instance that read them
 	// Age is the time since the state of the source was last confirmed to be up to
 	// date.
 	Age time.Duration `cbor:"5,keyasint,omitempty"`
@@ -69,7 +69,7 @@
 	IdleTimeout time.Duration          `cbor:"2,keyasint,omitempty"`
 	Health      map[ids.Service]string `cbor:"3,keyasint,omitempty"`
 	Routes      []passthrough.Route    `cbor:"4,keyasint,omitempty"` // new or changed
-	Removed     []passthrough.Endpoint `cbor:"5,keyasint,omitempty"`
+	Removed     []passthrough.Endpoint `cbor:"5,keyasint,omitempty"` // addresses of the removed routes
 }
 
 // Source provides the published configuration and target records. Each call fails when
@@ -85,7 +85,7 @@
 
 // Timing holds the timing parameters of the reads.
 type Timing struct {
-	Wait    time.Duration // maximum time for which a read of changes waits for one
+	Wait    time.Duration // maximum time for which a read of changes waits for a change
 	Timeout time.Duration // time allowed for a full read, or for a read of changes in addition to Wait
 	// Interval is the minimum time between two reads of changes by a Paced source.
 	Interval time.Duration
@@ -118,10 +118,10 @@
 	timing      Timing
 	deliver     func(Update)
 	log         *slog.Logger
-	revision    uint64
-	synced      bool
+	revision    uint64 // revision of the last update
+	synced      bool   // a full read has succeeded and its history is still available
 	failures    int
-	outageStart time.Time         // start of the current outage
+	outageStart time.Time
 	revisions   map[string]uint64 // last delivered revision by target
 }
 
@@ -167,9 +167,9 @@
 		f.log.Warn("platform-lost", "revision", f.revision, "error", err)
 	}
 	f.failures++
-	d := min(f.timing.RetryMin<<min(f.failures-1, 8), f.timing.RetryMax)
+	delay := min(f.timing.RetryMin<<min(f.failures-1, 8), f.timing.RetryMax)
 	// The jitter keeps instances that failed together from retrying together.
-	sleep(ctx, d/2+time.Duration(rand.Int64N(int64(d))))
+	sleep(ctx, delay/2+time.Duration(rand.Int64N(int64(delay))))
 }
 
 func (f *Follower) handleUpdate(u *Update) {
--- a/internal/forwarder/admin.go
+++ b/internal/forwarder/admin.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		return err
 	}
-	context.AfterFunc(ctx, func() { _ = server.Close() }) // the process ends
+	context.AfterFunc(ctx, func() { _ = server.Close() }) // error ignored: the process is exiting
 	return nil
 }
 
--- a/internal/forwarder/forward.go
+++ b/internal/forwarder/forward.go
@@ -115,8 +115,8 @@
 		platform.SetIdentity(datagram, d.Identity)
 		f.send(datagram, d.Address.AddrPort())
 	case passthrough.Reset:
-		at := netip.AddrPortFrom(netip.AddrFrom4(p.Flow.Caller.IP), f.settings.Listen.Port())
-		f.send(platform.AppendReset(datagram[:0], &p), at)
+		destination := netip.AddrPortFrom(netip.AddrFrom4(p.Flow.Caller.IP), f.settings.Listen.Port())
+		f.send(platform.AppendReset(datagram[:0], &p), destination)
 	}
 	f.metrics.record(&d, f.clock.now().Sub(now))
 	f.logDecision(now, &p, &d)
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -69,9 +69,9 @@
 	updatedAt  ids.Time // when the state was last confirmed to be up to date; used by the forwarding goroutine
 	reload     *reload.Watcher
 	lifecycle  atomic.Uint32 // a chart.State of chart.Instance
-	lastPacket atomic.Int64  // an ids.Time
+	lastPacket atomic.Int64  // time of the last packet, an ids.Time
 	received   atomic.Uint64 // number of datagrams received
-	stop       chan struct{}
+	stop       chan struct{} // closed by Stop
 }
 
 // clock is a monotonic clock, independent of changes of the wall clock.
@@ -90,11 +90,11 @@
 	if err != nil {
 		return nil, eris.Wrapf(err, "listen for datagrams on %s", s.Listen)
 	}
-	out := telemetry.NewWriter(stdout, logRingLines)
-	spans := map[string]io.Writer{"stdout": out, "stderr": stderr}[s.Trace.Exporter]
+	logWriter := telemetry.NewWriter(stdout, logRingLines)
+	spans := map[string]io.Writer{"stdout": logWriter, "stderr": stderr}[s.Trace.Exporter]
 	tracer, err := telemetry.NewTracer(spans, s.Trace.Sample, s.Instance)
 	if err != nil {
-		_ = conn.Close() // nothing was served yet
+		_ = conn.Close() // error ignored: the socket was not in use yet
 		return nil, err
 	}
 	level := new(slog.LevelVar)
@@ -102,8 +102,8 @@
 	f := &Forwarder{
 		settings:         s,
 		tracer:           tracer,
-		log:              telemetry.NewLogger(out, level, s.Instance),
-		logWriter:        out,
+		log:              telemetry.NewLogger(logWriter, level, s.Instance),
+		logWriter:        logWriter,
 		conn:             conn,
 		commands:         ring.New[func()](commandRingSize),
 		state:            fanout.NewState(),
@@ -129,11 +129,11 @@
 	return f, nil
 }
 
-func maxFlows(memory int64) int {
-	if memory == 0 {
+func maxFlows(memoryBytes int64) int {
+	if memoryBytes == 0 {
 		return defaultFlows
 	}
-	return max(int(float64(memory)*flowMemoryShare/passthrough.FlowBytes), minFlows)
+	return max(int(float64(memoryBytes)*flowMemoryShare/passthrough.FlowBytes), minFlows)
 }
 
 // Run forwards packets until the planned stop begun by Stop is complete, or until ctx
@@ -145,19 +145,19 @@
 	defer cancel()
 	probe, err := f.serveReady()
 	if err != nil {
-		_ = f.conn.Close() // nothing was served yet
+		_ = f.conn.Close() // error ignored: the socket was not in use yet
 		return err
 	}
-	defer func() { _ = probe.Close() }() // the process ends
+	defer func() { _ = probe.Close() }() // error ignored: the process is exiting
 	f.log.Info("started", "data_centre", f.settings.DataCentre, "listen", f.settings.Listen, "platform", f.settings.Platform)
 	f.checker = newChecker(ctx)
 	source, err := f.startSource(ctx)
 	if err != nil {
-		_ = f.conn.Close() // nothing was served yet
+		_ = f.conn.Close() // error ignored: the socket was not in use yet
 		return err
 	}
 	if err := f.serveMetrics(ctx); err != nil {
-		_ = f.conn.Close() // nothing was served yet
+		_ = f.conn.Close() // error ignored: the socket was not in use yet
 		return err
 	}
 	follower := follow.New(source, follow.TimingFor(f.settings.ApplyWithin), f.deliver(ctx), f.log)
--- a/internal/forwarder/interfaces.go
+++ b/internal/forwarder/interfaces.go
@@ -26,10 +26,10 @@
 }
 
 // serveHTTP starts a server for handler and returns it.
-func (f *Forwarder) serveHTTP(name string, at netip.AddrPort, handler http.Handler) (*http.Server, error) {
-	listener, err := net.Listen("tcp4", at.String())
+func (f *Forwarder) serveHTTP(name string, address netip.AddrPort, handler http.Handler) (*http.Server, error) {
+	listener, err := net.Listen("tcp4", address.String())
 	if err != nil {
-		return nil, eris.Wrapf(err, "listen for %s on %s", name, at)
+		return nil, eris.Wrapf(err, "listen for %s on %s", name, address)
 	}
 	server := &http.Server{
 		Handler:           handler,
@@ -59,7 +59,7 @@
 	if err != nil {
 		return nil, err
 	}
-	context.AfterFunc(ctx, func() { _ = server.Close() }) // the process ends
+	context.AfterFunc(ctx, func() { _ = server.Close() }) // error ignored: the process is exiting
 	source := fanout.NewSource(store, fanout.Config{
 		DataCentre:      f.settings.DataCentre,
 		Self:            fanout.Instance{ID: f.settings.Instance, Address: f.settings.Advertise},
@@ -71,8 +71,8 @@
 		OnRead:          f.metrics.countRead,
 	})
 	f.fanoutSource = source
-	announce, leave := context.WithCancel(ctx)
-	f.stopAnnouncing = leave
-	go source.Announce(announce)
+	announceCtx, cancel := context.WithCancel(ctx)
+	f.stopAnnouncing = cancel
+	go source.Announce(announceCtx)
 	return source, nil
 }
