--- a/internal/fanout/source.go
+++ b/internal/fanout/source.go
@@ -50,8 +50,7 @@
 // errNoSource is returned at start-up when no source responded in time.
 var errNoSource = eris.New("no response from the platform or any instance")
 
-// errStale is returned for an instance whose state is too old because it has lost
-// the platform.
+// errStale is returned for an instance whose state is too old to be used.
 var errStale = eris.New("state of the source is stale")
 
 // Config holds the parameters of a Source.
--- a/internal/forwarder/report.go
+++ b/internal/forwarder/report.go
@@ -41,9 +41,9 @@
 }
 
 // logDecision logs a decision about a flow. It identifies the flow by all that an
-// instance can read in a packet: both endpoints and the sequence number. For flows in
-// the flow table of this instance it logs only packets with retransmitted request data
-// and flows adopted from another instance.
+// instance can read in a packet: both endpoints and the sequence number. Of the packets
+// whose cookie identifies the target, it logs only those with retransmitted request data
+// and those of flows adopted from another instance.
 func (f *Forwarder) logDecision(now ids.Time, p *passthrough.Packet, d *passthrough.Decision) {
 	l := &f.exceptionLimiter
 	switch {
