--- a/internal/forwarder/forwarder_test.go
+++ b/internal/forwarder/forwarder_test.go
@@ -25,16 +25,16 @@
 )
 
 var (
-	counter = netip.MustParseAddrPort("198.18.0.1:443")
-	slips   = netip.MustParseAddrPort("198.18.0.2:443")
+	counterAddress = netip.MustParseAddrPort("198.18.0.1:443")
+	slipsAddress   = netip.MustParseAddrPort("198.18.0.2:443")
 )
 
 // instance is a running forwarder.
 type instance struct {
 	*Forwarder
-	log   *syncbuf.Buffer
-	spans *syncbuf.Buffer
-	done  chan error
+	log    *syncbuf.Buffer
+	spans  *syncbuf.Buffer
+	exited chan error
 }
 
 // fleet is a small deployment on the loopback interface: a store, instances, targets and
@@ -82,8 +82,8 @@
 
 func (f *fleet) putConfig(version int) {
 	f.store.PutConfig(version,
-		platformtest.Route{IP: counter.Addr().String(), Port: int(counter.Port()), Service: "counter", Kind: "unsafe"},
-		platformtest.Route{IP: slips.Addr().String(), Port: int(slips.Port()), Service: "slips", Kind: "download"})
+		platformtest.Route{IP: counterAddress.Addr().String(), Port: int(counterAddress.Port()), Service: "counter", Kind: "unsafe"},
+		platformtest.Route{IP: slipsAddress.Addr().String(), Port: int(slipsAddress.Port()), Service: "slips", Kind: "download"})
 }
 
 // start starts a further instance and waits until it is ready.
@@ -103,21 +103,21 @@
 	} else {
 		s.Seeds = s.Control.String()
 	}
-	i := &instance{log: &syncbuf.Buffer{}, spans: &syncbuf.Buffer{}, done: make(chan error, 1)}
+	i := &instance{log: &syncbuf.Buffer{}, spans: &syncbuf.Buffer{}, exited: make(chan error, 1)}
 	var err error
 	i.Forwarder, err = New(settings.Settings{Passthrough: s}, i.log, i.spans)
 	assert.NilError(f.t, err)
 	ctx, cancel := context.WithCancel(context.Background())
-	go func() { i.done <- i.Run(ctx) }()
+	go func() { i.exited <- i.Run(ctx) }()
 	f.t.Cleanup(cancel)
 	f.instances = append(f.instances, i)
 	f.receiver.CompareAndSwap(nil, i)
-	f.eventually(func() bool { return i.ready() == http.StatusOK }, "instance is ready")
+	f.eventually(func() bool { return i.readyStatus() == http.StatusOK }, "instance is ready")
 	return i
 }
 
-// ready returns the status of the readiness probe, 0 if it fails.
-func (i *instance) ready() int {
+// readyStatus returns the status of the readiness probe, 0 if it fails.
+func (i *instance) readyStatus() int {
 	response, err := http.Get("http://" + i.settings.Ready.String() + "/ready")
 	if err != nil {
 		return 0
@@ -152,9 +152,9 @@
 func (f *fleet) checkTargets() {
 	f.t.Helper()
 	for _, target := range f.targets {
-		_, _, repeated, crossed := target.Counts()
+		_, _, repeated, misdelivered := target.Counts()
 		assert.Equal(f.t, repeated, 0, "%s ran a request twice", target.ID)
-		assert.Equal(f.t, crossed, 0, "%s got packets that were not for it", target.ID)
+		assert.Equal(f.t, misdelivered, 0, "%s got packets that were not for it", target.ID)
 	}
 	assert.Equal(f.t, f.caller.Misdelivered(), 0)
 }
@@ -164,14 +164,14 @@
 func TestPath(t *testing.T) {
 	f := newFleet(t, 2)
 	for i := range 20 {
-		answer, err := f.request(counter, fmt.Sprint("claim-", i))
+		answer, err := f.request(counterAddress, fmt.Sprint("claim-", i))
 		assert.NilError(t, err)
 		assert.Assert(t, strings.HasPrefix(answer, "counter ") && strings.HasSuffix(answer, fmt.Sprint(" claim-", i)), answer)
-		answer, err = f.request(slips, fmt.Sprint("slip-", i))
+		answer, err = f.request(slipsAddress, fmt.Sprint("slip-", i))
 		assert.NilError(t, err)
 		assert.Assert(t, strings.HasPrefix(answer, "slips "), answer)
 	}
-	flow, err := f.caller.Open(counter)
+	flow, err := f.caller.Open(counterAddress)
 	assert.NilError(t, err)
 	first, err := flow.Request([]byte("a"), time.Second)
 	assert.NilError(t, err)
@@ -188,20 +188,20 @@
 // instance that exits before the fabric has taken it out of rotation.
 func TestPlannedStop(t *testing.T) {
 	f := newFleet(t, 2)
-	flow, err := f.caller.Open(counter)
+	flow, err := f.caller.Open(counterAddress)
 	assert.NilError(t, err)
 	stopping := f.instances[0]
 	stopping.Stop()
-	f.eventually(func() bool { return stopping.ready() == http.StatusServiceUnavailable }, "the instance leaves the rotation")
+	f.eventually(func() bool { return stopping.readyStatus() == http.StatusServiceUnavailable }, "the instance leaves the rotation")
 	start := time.Now()
 	for i := 0; time.Since(start) < 1200*time.Millisecond; i++ {
 		_, err := flow.Request([]byte(fmt.Sprint("x", i)), time.Second)
 		assert.NilError(t, err)
-		_, err = f.request(slips, fmt.Sprint("y", i))
+		_, err = f.request(slipsAddress, fmt.Sprint("y", i))
 		assert.NilError(t, err)
 	}
 	f.receiver.Store(f.instances[1]) // the fabric has removed the stopping instance
-	assert.NilError(t, <-stopping.done)
+	assert.NilError(t, <-stopping.exited)
 	_, err = flow.Request([]byte("last"), time.Second)
 	assert.NilError(t, err)
 	assert.Assert(t, strings.Contains(stopping.log.String(), "msg=stopped"))
@@ -215,7 +215,7 @@
 // breaks when its target drains.
 func TestDrain(t *testing.T) {
 	f := newFleet(t, 1)
-	flow, err := f.caller.Open(counter)
+	flow, err := f.caller.Open(counterAddress)
 	assert.NilError(t, err)
 	answer, err := flow.Request([]byte("a"), time.Second)
 	assert.NilError(t, err)
@@ -227,7 +227,7 @@
 	f.eventually(func() bool { return strings.Contains(f.instances[0].log.String(), "state=draining") }, "the drain is known")
 	before, _, _, _ := draining.Counts()
 	for i := range 20 {
-		_, err := f.request(counter, fmt.Sprint("n", i))
+		_, err := f.request(counterAddress, fmt.Sprint("n", i))
 		assert.NilError(t, err)
 	}
 	after, _, _, _ := draining.Counts()
@@ -244,7 +244,7 @@
 	f.store.Refuse(http.StatusServiceUnavailable)
 	joining := f.start()
 	f.receiver.Store(joining)
-	_, err := f.request(counter, "x")
+	_, err := f.request(counterAddress, "x")
 	assert.NilError(t, err)
 	changed := regexp.MustCompile(`msg=source-changed instance=a-2 from="" to=(a-|"seed )`)
 	assert.Assert(t, changed.MatchString(joining.log.String()), "its first source is an instance: %s", joining.log)
@@ -254,10 +254,10 @@
 // its history of changes, and against existing flows that break then.
 func TestConfigAfterLostHistory(t *testing.T) {
 	f := newFleet(t, 2)
-	flow, err := f.caller.Open(counter)
+	flow, err := f.caller.Open(counterAddress)
 	assert.NilError(t, err)
 	f.store.Refuse(http.StatusServiceUnavailable)
-	f.store.PutConfig(7, platformtest.Route{IP: counter.Addr().String(), Port: int(counter.Port()), Service: "counter", Kind: "unsafe"})
+	f.store.PutConfig(7, platformtest.Route{IP: counterAddress.Addr().String(), Port: int(counterAddress.Port()), Service: "counter", Kind: "unsafe"})
 	f.store.DropHistory()
 	time.Sleep(300 * time.Millisecond)
 	f.store.Refuse(0)
@@ -266,7 +266,7 @@
 			return strings.Contains(i.log.String(), "msg=config-applied instance="+string(i.settings.Instance)+" version=7")
 		}, "version 7 is in force")
 	}
-	_, err = f.request(slips, "x")
+	_, err = f.request(slipsAddress, "x")
 	assert.ErrorIs(t, err, platformtest.ErrReset)
 	_, err = flow.Request([]byte("a"), time.Second)
 	assert.NilError(t, err)
@@ -281,7 +281,7 @@
 	slow := 0
 	for i := range 30 {
 		start := time.Now()
-		_, err := f.request(counter, fmt.Sprint("x", i))
+		_, err := f.request(counterAddress, fmt.Sprint("x", i))
 		assert.NilError(t, err)
 		if time.Since(start) > 150*time.Millisecond {
 			slow++
@@ -295,7 +295,7 @@
 // whose metrics, state or explanations are wrong.
 func TestAdminInterface(t *testing.T) {
 	f := newFleet(t, 1)
-	_, err := f.request(counter, "x")
+	_, err := f.request(counterAddress, "x")
 	assert.NilError(t, err)
 	get := func(path string) string {
 		response, err := http.Get("http://" + f.instances[0].settings.Metrics.String() + path)
