--- a/internal/core/respond.go
+++ b/internal/core/respond.go
@@ -118,7 +118,7 @@
 // follow-up blocks of path, to this instance.
 func (c *Core) sendAckRoute(s *service, caller ids.Endpoint, id uint16, path uint64, home ids.Instance) {
 	b := c.newPeerMessage(s)
-	b.ackRoute = peerwire.AckRoute{Service: s.name, Caller: b.formatEndpoint(caller), ID: id, Path: path}
+	b.ackRoute = peerwire.AckRoute{Service: s.name, Caller: b.formatEndpoint(caller), ID: id, PathHash: path}
 	b.message.AckRoute = &b.ackRoute
 	c.sendPeerMessage(home, b)
 }
