--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -49,8 +49,8 @@
 	self     core.Self
 	core     *core.Core
 	log      *slog.Logger
-	logs     *telemetry.Writer
-	traces   *telemetry.Writer // nil without an exporter
+	logs     *telemetry.AsyncWriter
+	traces   *telemetry.AsyncWriter // nil without an exporter
 	tracer   *telemetry.Tracer
 	metrics  *telemetry.Registry
 	reload   *reload.Watcher
@@ -106,7 +106,7 @@
 	}
 	d := &Daemon{settings: s, clock: newClock(), metrics: telemetry.NewRegistry()}
 	d.ctx, d.abort = context.WithCancel(context.Background())
-	d.logs = telemetry.NewWriter(stderr, logLines)
+	d.logs = telemetry.NewAsyncWriter(stderr, logLines)
 	level := new(slog.LevelVar)
 	level.Set(s.Log.Level)
 	d.log = telemetry.NewLogger(d.logs, level, s.Instance)
@@ -139,7 +139,7 @@
 		}
 		material[k.ID] = key
 	}
-	return admission.NewKeyring(a.Sign, material)
+	return admission.NewKeyring(a.SigningKey, material)
 }
 
 func randomSeed(fixed *uint64) (uint64, error) {
@@ -156,10 +156,10 @@
 func (d *Daemon) openTrace(stdout, stderr io.Writer) error {
 	var to io.Writer
 	if target := map[string]io.Writer{"stdout": stdout, "stderr": stderr}[d.settings.Trace.Exporter]; target != nil {
-		d.traces = telemetry.NewWriter(target, logLines)
+		d.traces = telemetry.NewAsyncWriter(target, logLines)
 		to = d.traces
 	}
-	tracer, err := telemetry.NewTracer(to, d.settings.Trace.Sample, d.self.ID)
+	tracer, err := telemetry.NewTracer(to, d.settings.Trace.SampleRatio, d.self.ID)
 	d.tracer = tracer
 	return err
 }
@@ -201,8 +201,8 @@
 	s := &d.settings
 	d.addresses = newAddresses(s.Seeds)
 	d.links = link.New(link.Config{
-		Self: s.Instance, Source: s.PeerListen.Addr(), Credentials: credentials, Budget: s.Link.ControlBudget, Start: s.Link.StartBytes, Queue: s.Link.Queue,
-		DataIdle: s.Link.DataIdle, Log: d.log, Metrics: d.metrics,
+		Self: s.Instance, Source: s.PeerListen.Addr(), Credentials: credentials, Budget: s.Link.ControlBytesPerSecond, Start: s.Link.StartupBurstBytes, Queue: s.Link.QueueLength,
+		DataIdle: s.Link.DataIdleTimeout, Log: d.log, Metrics: d.metrics,
 		Address: d.addresses.lookup,
 		Receive: func(m *peerwire.Message) {
 			if m.Lane() == peerwire.Data {
@@ -228,7 +228,7 @@
 		"caller": d.callers.Stats, "backend": d.backends.Stats, "peer": d.messages.Stats, "signal": d.signals.Stats, "control": d.control.Stats,
 		"span": d.spans.Stats, "log": d.logs.Stats, "write_backend": d.toBackends.ring.Stats,
 	} {
-		d.metrics.Ring(name, stats)
+		d.metrics.RegisterRing(name, stats)
 	}
 }
 
--- a/internal/daemon/effects.go
+++ b/internal/daemon/effects.go
@@ -39,7 +39,7 @@
 	case core.Span:
 		l.span(e)
 	case core.Log:
-		d.log.Log(d.ctx, logLevel(e.Event), e.Event, telemetry.Details(e.Detail)...)
+		d.log.Log(d.ctx, logLevel(e.Event), e.Event, telemetry.ParseDetail(e.Detail)...)
 	case core.Exit:
 		l.exit = true
 	}
@@ -63,7 +63,7 @@
 		return
 	}
 	if !l.d.spans.Push(telemetry.Hop{
-		Name: hopNames[e.Stage], Request: e.TraceID, Service: e.Service, Target: e.Target,
+		Name: hopNames[e.Stage], RequestID: e.TraceID, Service: e.Service, Target: e.Target,
 		Start: time.Unix(0, int64(e.Start)), Duration: e.Duration,
 	}) {
 		l.spansDropped.Add(1)
--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -55,7 +55,7 @@
 	for i := range serviceWriters {
 		w := newWriter(writes)
 		l.writers = append(l.writers, w)
-		metrics.Ring("write_caller_"+strconv.Itoa(i), w.ring.Stats)
+		metrics.RegisterRing("write_caller_"+strconv.Itoa(i), w.ring.Stats)
 	}
 	return l
 }
--- a/internal/daemon/watch.go
+++ b/internal/daemon/watch.go
@@ -50,10 +50,10 @@
 			case err != nil && !failing:
 				w.log.Warn("platform-read-failed", "after", r.after, "error", err)
 			case err == nil && failing:
-				w.log.Info("platform-read-recovered", "upto", page.Upto)
+				w.log.Info("platform-read-recovered", "upto", page.UpToRevision)
 			}
 			failing = err != nil
-			w.emit(event{config: &core.ConfigEvent{Documents: page.Documents, Revision: page.Upto, Err: err}})
+			w.emit(event{config: &core.ConfigEvent{Documents: page.Documents, Revision: page.UpToRevision, Err: err}})
 		}
 	}
 }
--- a/internal/documents/documents.go
+++ b/internal/documents/documents.go
@@ -23,13 +23,13 @@
 	// ReadTimeout bounds a call without a wait. The platform answers in
 	// milliseconds when it is up.
 	ReadTimeout = 2 * time.Second
-	// WatchWait is the time for which the platform holds a watch, and WatchSlack
+	// WatchWait is the time for which the platform holds a watch, and WatchMargin
 	// the time allowed beyond it. A connection that has gone silent is noticed
 	// after their sum and replaced, within the 5 s in which a publication is to
 	// take effect. Two watchers in each of ten data centres cause 7 reads a
 	// second of the platform's 2,000.
-	WatchWait  = 3 * time.Second
-	WatchSlack = 1 * time.Second
+	WatchWait   = 3 * time.Second
+	WatchMargin = 1 * time.Second
 	// MaxBody bounds a response. A page holds at most 1 MB of values; JSON
 	// escaping can make them up to six times as long.
 	MaxBody = 6<<20 + 256<<10
@@ -64,10 +64,10 @@
 // Page is one page of publications.
 type Page struct {
 	Documents []core.Publication
-	// Upto is the revision up to which the page is complete. It is lower than
+	// UpToRevision is the revision up to which the page is complete. It is lower than
 	// the revision asked for when the platform is stale.
-	Upto ids.Revision
-	More bool // further documents follow after Upto
+	UpToRevision ids.Revision
+	More         bool // further documents follow after UpToRevision
 }
 
 type documentsBody struct {
@@ -89,7 +89,7 @@
 	timeout := ReadTimeout
 	if watch {
 		query.Set("wait", strconv.Itoa(int(WatchWait/time.Second)))
-		timeout = WatchWait + WatchSlack
+		timeout = WatchWait + WatchMargin
 	}
 	var body documentsBody
 	if err := c.get(ctx, "/v1/documents?"+query.Encode(), timeout, &body); err != nil {
@@ -102,7 +102,7 @@
 	if len(b.Documents) > maxDocuments {
 		return Page{}, ErrTooLarge
 	}
-	page := Page{Upto: b.Upto, More: b.More}
+	page := Page{UpToRevision: b.Upto, More: b.More}
 	last := after
 	for _, d := range b.Documents {
 		if d.Revision <= last || d.Key == "" {
@@ -117,7 +117,7 @@
 	}
 	if b.More && len(page.Documents) > 0 {
 		// What follows is unknown, so the state is complete only up to here.
-		page.Upto = last
+		page.UpToRevision = last
 	}
 	return page, nil
 }
--- a/internal/documents/documents_test.go
+++ b/internal/documents/documents_test.go
@@ -34,7 +34,7 @@
 	page, err := c.Documents(context.Background(), 3, true)
 	assert.NilError(t, err)
 	assert.Equal(t, query, "/v1/documents?after=3&wait=3")
-	assert.DeepEqual(t, page, Page{Upto: 5, More: true, Documents: []core.Publication{
+	assert.DeepEqual(t, page, Page{UpToRevision: 5, More: true, Documents: []core.Publication{
 		{Key: "service/x", Revision: 4, Value: []byte("a")}, {Key: "profile/y", Revision: 5}}})
 }
 
@@ -43,7 +43,7 @@
 	c := serve(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"upto":2,"documents":[]}`) })
 	page, err := c.Documents(context.Background(), 3, false)
 	assert.NilError(t, err)
-	assert.Equal(t, page.Upto, ids.Revision(2))
+	assert.Equal(t, page.UpToRevision, ids.Revision(2))
 }
 
 // Guards against a call that gives up at the first failure.
--- a/internal/forwarder/bench_test.go
+++ b/internal/forwarder/bench_test.go
@@ -17,7 +17,7 @@
 // writer.
 func BenchmarkLogDecision(b *testing.B) {
 	at := netip.MustParseAddrPort("127.0.0.1:0")
-	f, err := New(settings.Settings{Passthrough: &settings.Passthrough{Instance: "a", DataCentre: "a", Listen: at, FlowLife: time.Minute}}, io.Discard, io.Discard)
+	f, err := New(settings.Settings{Passthrough: &settings.Passthrough{Instance: "a", DataCentre: "a", Listen: at, FlowLifetime: time.Minute}}, io.Discard, io.Discard)
 	assert.NilError(b, err)
 	p := &passthrough.Packet{Flags: passthrough.SYN}
 	d := &passthrough.Decision{Reason: passthrough.Replaced, Target: "i-1234567890", Service: "counter"}
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -51,7 +51,7 @@
 type Forwarder struct {
 	settings   *settings.Passthrough
 	log        *slog.Logger
-	out        *telemetry.Writer
+	out        *telemetry.AsyncWriter
 	conn       *net.UDPConn
 	core       *passthrough.Core
 	commands   *ring.Ring[func()] // run by the forwarding goroutine
@@ -89,9 +89,9 @@
 	if err != nil {
 		return nil, eris.Wrapf(err, "listen for datagrams on %s", s.Listen)
 	}
-	out := telemetry.NewWriter(stdout, logLines)
+	out := telemetry.NewAsyncWriter(stdout, logLines)
 	spans := map[string]io.Writer{"stdout": out, "stderr": stderr}[s.Trace.Exporter]
-	tracer, err := telemetry.NewTracer(spans, s.Trace.Sample, s.Instance)
+	tracer, err := telemetry.NewTracer(spans, s.Trace.SampleRatio, s.Instance)
 	if err != nil {
 		_ = conn.Close() // nothing was served yet
 		return nil, err
@@ -121,8 +121,8 @@
 		DataCentre:        s.DataCentre,
 		Regions:           s.Regions,
 		MaxFlows:          maxFlows(s.MemoryBytes),
-		FlowLifetime:      s.FlowLife,
-		HeartbeatInterval: s.Heartbeat,
+		FlowLifetime:      s.FlowLifetime,
+		HeartbeatInterval: s.HeartbeatInterval,
 		Seed:              ids.Hash(string(s.Instance)) ^ uint64(time.Now().UnixNano()),
 	})
 	return f, nil
@@ -211,12 +211,12 @@
 	case <-f.stop:
 		f.fire(chart.InstanceStop)
 		f.leave()
-		f.log.Info("stopping", "grace", f.settings.Grace)
+		f.log.Info("stopping", "grace", f.settings.GracePeriod)
 		begin := f.clock.now()
 		for {
 			now := f.clock.now()
 			quiet := now.Sub(ids.Time(f.lastPacket.Load())) >= quietTime
-			if now.Sub(begin) >= f.settings.Grace-exitMargin || (quiet && now.Sub(begin) >= leaveAfter) {
+			if now.Sub(begin) >= f.settings.GracePeriod-exitMargin || (quiet && now.Sub(begin) >= leaveAfter) {
 				break
 			}
 			time.Sleep(quietTime / 10)
--- a/internal/forwarder/forwarder_test.go
+++ b/internal/forwarder/forwarder_test.go
@@ -94,7 +94,7 @@
 		Instance: ids.Instance(fmt.Sprint("a-", n)), DataCentre: "a", Platform: netip.MustParseAddrPort(f.store.Address()),
 		Listen: netip.AddrPortFrom(ip, f.port), Ready: netip.AddrPortFrom(ip, tcp), Control: netip.AddrPortFrom(ip, tcp+1),
 		Metrics:     netip.AddrPortFrom(ip, tcp+2),
-		ApplyWithin: 3 * time.Second, Grace: 6 * time.Second, FlowLife: time.Minute, Log: settings.Log{Level: slog.LevelDebug}, Trace: settings.Trace{Exporter: "stderr", Sample: 1},
+		ApplyWithin: 3 * time.Second, GracePeriod: 6 * time.Second, FlowLifetime: time.Minute, Log: settings.Log{Level: slog.LevelDebug}, Trace: settings.Trace{Exporter: "stderr", SampleRatio: 1},
 	}
 	s.Advertise = s.Control
 	if n > 0 {
--- a/internal/forwarder/trace.go
+++ b/internal/forwarder/trace.go
@@ -16,7 +16,7 @@
 		return
 	}
 	f.tracer.Record(telemetry.Hop{
-		Name: name, Request: p.Flow.Hash(), Service: d.Service, Target: ids.Target(d.Target),
+		Name: name, RequestID: p.Flow.Hash(), Service: d.Service, Target: ids.Target(d.Target),
 		Start: time.Now().Add(-took), Duration: took,
 	})
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -56,7 +56,7 @@
 // Admission names the key files of admission tokens. All keys verify; the key
 // with the id Sign signs.
 type Admission struct {
-	Sign       uint8
+	SigningKey uint8
 	Keys       []AdmissionKey
 	MaxEntries int // requests remembered for 300 s
 	MaxBytes   int // of their responses
@@ -70,10 +70,10 @@
 
 // Link tunes the links to other instances.
 type Link struct {
-	ControlBudget int           // bytes a second that control messages may use
-	StartBytes    int           // control bytes beyond that rate after the start
-	DataIdle      time.Duration // a data link without messages for this long is closed
-	Queue         int           // messages waiting for one link and lane
+	ControlBytesPerSecond int           // bytes a second that control messages may use
+	StartupBurstBytes     int           // control bytes beyond that rate after the start
+	DataIdleTimeout       time.Duration // a data link without messages for this long is closed
+	QueueLength           int           // messages waiting for one link and lane
 }
 
 // Rings holds the capacities of the rings between goroutines, in entries.
@@ -84,8 +84,8 @@
 
 // Trace settings.
 type Trace struct {
-	Exporter string  // none, stdout or stderr
-	Sample   float64 // share of requests that are traced, 0 to 1
+	Exporter    string  // none, stdout or stderr
+	SampleRatio float64 // share of requests that are traced, 0 to 1
 }
 
 // Load reads and checks the settings file at path. File names in it are
@@ -177,7 +177,7 @@
 }
 
 func parseAdmission(r *reader, s *Settings) {
-	s.Admission.Sign = uint8(r.integer("admission.signing_key", required, 0, 255))
+	s.Admission.SigningKey = uint8(r.integer("admission.signing_key", required, 0, 255))
 	s.Admission.MaxEntries = int(r.integer("admission.max_entries", 1<<16, 1<<10, 1<<24))
 	s.Admission.MaxBytes = int(r.integer("admission.max_bytes", 24<<20, 1<<20, 1<<33))
 	seen := map[uint8]bool{}
@@ -189,17 +189,17 @@
 		seen[k.ID] = true
 		s.Admission.Keys = append(s.Admission.Keys, k)
 	}
-	if r.has("admission.signing_key") && !seen[s.Admission.Sign] {
+	if r.has("admission.signing_key") && !seen[s.Admission.SigningKey] {
 		r.fault("admission.signing_key", "must be the id of an [[admission.key]]")
 	}
 }
 
 func parseTuning(r *reader, s *Settings) {
 	s.Link = Link{
-		ControlBudget: int(r.integer("link.control_bytes_per_second", 2048, 256, 1<<20)),
-		StartBytes:    int(r.integer("link.start_bytes", 128<<10, 0, 1<<24)),
-		DataIdle:      r.duration("link.data_idle", time.Minute, time.Second, time.Hour),
-		Queue:         int(r.integer("link.queue", 1024, 16, 1<<16)),
+		ControlBytesPerSecond: int(r.integer("link.control_bytes_per_second", 2048, 256, 1<<20)),
+		StartupBurstBytes:     int(r.integer("link.start_bytes", 128<<10, 0, 1<<24)),
+		DataIdleTimeout:       r.duration("link.data_idle", time.Minute, time.Second, time.Hour),
+		QueueLength:           int(r.integer("link.queue", 1024, 16, 1<<16)),
 	}
 	s.Rings = Rings{
 		Caller:  int(r.integer("rings.caller", 4096, 16, 1<<20)),
@@ -221,5 +221,5 @@
 
 func parseTrace(r *reader, t *Trace) {
 	t.Exporter = r.oneOf("trace.exporter", "none", "none", "stdout", "stderr")
-	t.Sample = r.float("trace.sample", 0.01, 0, 1)
+	t.SampleRatio = r.float("trace.sample", 0.01, 0, 1)
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -23,10 +23,10 @@
 	assert.Equal(t, minimal.TLS.CA, "/keys/ca.crt")
 	assert.Equal(t, minimal.PeerAdvertise, minimal.PeerListen)
 	assert.Equal(t, minimal.PlatformURL, "http://127.0.0.1:7300")
-	assert.Equal(t, minimal.Link.ControlBudget, 2048)
+	assert.Equal(t, minimal.Link.ControlBytesPerSecond, 2048)
 	assert.Equal(t, minimal.Admission.MaxEntries, full.Admission.MaxEntries)
 	assert.Equal(t, minimal.Admission.MaxBytes, full.Admission.MaxBytes)
-	assert.Equal(t, minimal.Link.StartBytes, full.Link.StartBytes)
+	assert.Equal(t, minimal.Link.StartupBurstBytes, full.Link.StartupBurstBytes)
 	assert.Equal(t, minimal.Linger, 3*time.Second)
 	assert.DeepEqual(t, minimal.Rings, full.Rings)
 }
@@ -81,8 +81,8 @@
 	minimal, err := Parse([]byte("instance={id='a',data_centre='d'}\n[passthrough]\nlisten='127.0.0.1:1'\nready='127.0.0.1:2'\nplatform='127.0.0.1:3'\n"))
 	assert.NilError(t, err)
 	assert.Equal(t, minimal.Passthrough.ApplyWithin, p.ApplyWithin)
-	assert.Equal(t, minimal.Passthrough.Grace, p.Grace)
-	assert.Equal(t, minimal.Passthrough.FlowLife, p.FlowLife)
+	assert.Equal(t, minimal.Passthrough.GracePeriod, p.GracePeriod)
+	assert.Equal(t, minimal.Passthrough.FlowLifetime, p.FlowLifetime)
 	assert.Assert(t, !minimal.Passthrough.Control.IsValid() && !minimal.Passthrough.Metrics.IsValid())
 
 	template, err := os.ReadFile("../../deploy/settings.toml")
--- a/internal/telemetry/log.go
+++ b/internal/telemetry/log.go
@@ -27,10 +27,10 @@
 	return a
 }
 
-// Details splits the key=value words of a log detail into arguments for slog.
+// ParseDetail splits the key=value words of a log detail into arguments for slog.
 // A value in double quotes is unquoted as in Go; a word without "=" joins the
 // value before it.
-func Details(detail string) []any {
+func ParseDetail(detail string) []any {
 	var args []any
 	for detail = strings.TrimSpace(detail); detail != ""; detail = strings.TrimSpace(detail) {
 		key, rest, ok := strings.Cut(detail, "=")
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -40,8 +40,8 @@
 // Gauge registers f as the value of name.
 func (r *Registry) Gauge(name string, f func() any) { r.vars.Set(name, expvar.Func(f)) }
 
-// Ring registers the counters of one ring under its name.
-func (r *Registry) Ring(name string, stats func() ring.Stats) {
+// RegisterRing registers the counters of one ring under its name.
+func (r *Registry) RegisterRing(name string, stats func() ring.Stats) {
 	r.Gauge("ring_"+name+"_depth_entries", func() any { return stats().Depth })
 	r.Gauge("ring_"+name+"_peak_entries", func() any { return stats().Peak })
 	r.Gauge("ring_"+name+"_capacity_entries", func() any { return stats().Capacity })
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -23,7 +23,7 @@
 func TestLogLine(t *testing.T) {
 	var out bytes.Buffer
 	log := NewLogger(&out, slog.LevelInfo, "a1")
-	log.Info("config-applied", Details(`revision=7 error="line 4: key=x" reason=two words`)...)
+	log.Info("config-applied", ParseDetail(`revision=7 error="line 4: key=x" reason=two words`)...)
 	log.Debug("hidden")
 	line := out.String()
 	assert.Equal(t, strings.Count(line, "\n"), 1)
@@ -44,7 +44,7 @@
 	r.Counter("callers_total").Add(1)
 	q := ring.New[int](4)
 	q.Push(1)
-	r.Ring("caller", q.Stats)
+	r.RegisterRing("caller", q.Stats)
 	w := httptest.NewRecorder()
 	r.ServeHTTP(w, nil)
 	var page map[string]any
@@ -64,15 +64,15 @@
 		if tr.Sampled(i) {
 			sampled++
 		}
-		tr.Record(Hop{Name: "received", Request: i, Start: time.Unix(1, 0), Duration: time.Second})
-		tr.Record(Hop{Name: "answered", Request: i, Service: "counter", Target: "t1", Start: time.Unix(2, 0)})
+		tr.Record(Hop{Name: "received", RequestID: i, Start: time.Unix(1, 0), Duration: time.Second})
+		tr.Record(Hop{Name: "answered", RequestID: i, Service: "counter", Target: "t1", Start: time.Unix(2, 0)})
 	}
 	assert.Assert(t, sampled > 850 && sampled < 1150, "%d of 4000", sampled)
 	ended := spans.Ended()
 	assert.Equal(t, len(ended), 2*sampled)
 	assert.Equal(t, ended[0].SpanContext().TraceID(), ended[1].SpanContext().TraceID())
 	other := tracetest.NewSpanRecorder()
-	newTracer(other, 1, "a2").Record(Hop{Name: "relayed", Request: binary.BigEndian.Uint64(traceBytes(ended[0])), Start: time.Unix(1, 0)})
+	newTracer(other, 1, "a2").Record(Hop{Name: "relayed", RequestID: binary.BigEndian.Uint64(traceBytes(ended[0])), Start: time.Unix(1, 0)})
 	assert.Equal(t, ended[0].SpanContext().TraceID(), other.Ended()[0].SpanContext().TraceID(), "at another instance")
 	assert.Equal(t, ended[0].EndTime().Sub(ended[0].StartTime()), time.Second)
 	assert.NilError(t, tr.Close(context.Background()))
@@ -90,7 +90,7 @@
 	var out bytes.Buffer
 	tr, err := NewTracer(&out, 1, "a1")
 	assert.NilError(t, err)
-	tr.Record(Hop{Name: "received", Request: 1, Start: time.Unix(1, 0)})
+	tr.Record(Hop{Name: "received", RequestID: 1, Start: time.Unix(1, 0)})
 	assert.NilError(t, tr.Close(context.Background()))
 	assert.Assert(t, strings.Contains(out.String(), `"Name":"received"`))
 	off, err := NewTracer(nil, 1, "a1")
@@ -107,7 +107,7 @@
 // against lines lost at the end.
 func TestWriterNeverBlocks(t *testing.T) {
 	s := stuck{release: make(chan struct{})}
-	w := NewWriter(s, 4)
+	w := NewAsyncWriter(s, 4)
 	for range 100 {
 		_, _ = w.Write([]byte("line\n"))
 	}
@@ -115,7 +115,7 @@
 	close(s.release)
 	w.Close()
 	var out bytes.Buffer
-	w = NewWriter(&out, 16)
+	w = NewAsyncWriter(&out, 16)
 	for range 10 {
 		_, _ = w.Write([]byte("line\n"))
 	}
--- a/internal/telemetry/trace.go
+++ b/internal/telemetry/trace.go
@@ -18,12 +18,12 @@
 
 // Hop describes one span: a step of a request at this instance.
 type Hop struct {
-	Name     string
-	Request  uint64 // identifies the request; relays carry it to other instances
-	Service  ids.Service
-	Target   ids.Target // empty when no backend server is involved
-	Start    time.Time
-	Duration time.Duration
+	Name      string
+	RequestID uint64 // identifies the request; relays carry it to other instances
+	Service   ids.Service
+	Target    ids.Target // empty when no backend server is involved
+	Start     time.Time
+	Duration  time.Duration
 }
 
 // Tracer turns hops of sampled requests into spans.
@@ -75,14 +75,14 @@
 // Record emits the span of one hop. All hops of a request share a trace id, at
 // other instances as well.
 func (t *Tracer) Record(h Hop) {
-	if !t.Sampled(h.Request) {
+	if !t.Sampled(h.RequestID) {
 		return
 	}
 	var id trace.TraceID
 	var parent trace.SpanID
-	binary.BigEndian.PutUint64(parent[:], ids.Mix(h.Request, parentKey)|1)
+	binary.BigEndian.PutUint64(parent[:], ids.Mix(h.RequestID, parentKey)|1)
 	copy(id[:8], parent[:])
-	binary.BigEndian.PutUint64(id[8:], h.Request)
+	binary.BigEndian.PutUint64(id[8:], h.RequestID)
 	ctx := trace.ContextWithSpanContext(context.Background(), trace.NewSpanContext(trace.SpanContextConfig{
 		TraceID: id, SpanID: parent, TraceFlags: trace.FlagsSampled,
 	}))
--- a/internal/telemetry/writer.go
+++ b/internal/telemetry/writer.go
@@ -7,24 +7,24 @@
 	"arbutusdock.example/arbutusdock/internal/ring"
 )
 
-// Writer passes lines to another writer in a goroutine of its own, so that a
+// AsyncWriter passes lines to another writer in a goroutine of its own, so that a
 // standard stream that nobody reads cannot block the caller. Lines that do not
 // fit in its ring are dropped and counted.
-type Writer struct {
+type AsyncWriter struct {
 	lines *ring.Ring[[]byte]
 	stop  chan struct{}
 	once  sync.Once
 	done  chan struct{}
 }
 
-// NewWriter returns a writer to w with room for capacity lines. Close ends it.
-func NewWriter(w io.Writer, capacity int) *Writer {
-	a := &Writer{lines: ring.New[[]byte](capacity), stop: make(chan struct{}), done: make(chan struct{})}
+// NewAsyncWriter returns a writer to w with room for capacity lines. Close ends it.
+func NewAsyncWriter(w io.Writer, capacity int) *AsyncWriter {
+	a := &AsyncWriter{lines: ring.New[[]byte](capacity), stop: make(chan struct{}), done: make(chan struct{})}
 	go a.run(w)
 	return a
 }
 
-func (a *Writer) run(w io.Writer) {
+func (a *AsyncWriter) run(w io.Writer) {
 	defer close(a.done)
 	for {
 		select {
@@ -46,16 +46,16 @@
 }
 
 // Write queues a copy of p. It always succeeds.
-func (a *Writer) Write(p []byte) (int, error) {
+func (a *AsyncWriter) Write(p []byte) (int, error) {
 	a.lines.Push(append([]byte(nil), p...))
 	return len(p), nil
 }
 
 // Stats returns the counters of the ring.
-func (a *Writer) Stats() ring.Stats { return a.lines.Stats() }
+func (a *AsyncWriter) Stats() ring.Stats { return a.lines.Stats() }
 
 // Close writes the lines that are queued. Later lines are lost.
-func (a *Writer) Close() {
+func (a *AsyncWriter) Close() {
 	a.once.Do(func() { close(a.stop) })
 	<-a.done
 }
