--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -56,7 +56,7 @@
 	for i := range callerWriterCount {
 		w := newWriter(writerCapacity)
 		l.writers = append(l.writers, w)
-		metrics.Ring("write_caller_"+strconv.Itoa(i), w.ring.Stats)
+		metrics.RegisterRing("write_caller_"+strconv.Itoa(i), w.ring.Stats)
 	}
 	return l
 }
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -52,7 +52,7 @@
 type Forwarder struct {
 	settings         *settings.Passthrough
 	log              *slog.Logger
-	logWriter        *telemetry.Writer
+	logWriter        *telemetry.AsyncWriter
 	conn             *net.UDPConn
 	core             *passthrough.Core
 	commands         *ring.Ring[func()] // run by the forwarding goroutine
@@ -90,9 +90,9 @@
 	if err != nil {
 		return nil, eris.Wrapf(err, "listen for datagrams on %s", s.Listen)
 	}
-	logWriter := telemetry.NewWriter(stdout, logRingLines)
+	logWriter := telemetry.NewAsyncWriter(stdout, logRingLines)
 	spans := map[string]io.Writer{"stdout": logWriter, "stderr": stderr}[s.Trace.Exporter]
-	tracer, err := telemetry.NewTracer(spans, s.Trace.Sample, s.Instance)
+	tracer, err := telemetry.NewTracer(spans, s.Trace.SampleRatio, s.Instance)
 	if err != nil {
 		_ = conn.Close() // error ignored: the socket was not in use yet
 		return nil, err
@@ -122,8 +122,8 @@
 		DataCentre:        s.DataCentre,
 		Regions:           s.Regions,
 		MaxFlows:          maxFlows(s.MemoryBytes),
-		FlowLifetime:      s.FlowLife,
-		HeartbeatInterval: s.Heartbeat,
+		FlowLifetime:      s.FlowLifetime,
+		HeartbeatInterval: s.HeartbeatInterval,
 		Seed:              ids.Hash(string(s.Instance)) ^ uint64(time.Now().UnixNano()),
 	})
 	return f, nil
@@ -215,12 +215,12 @@
 	case <-f.stop:
 		f.fire(chart.InstanceStop)
 		f.stopAnnouncing()
-		f.log.Info("stopping", "grace", f.settings.Grace)
+		f.log.Info("stopping", "grace", f.settings.GracePeriod)
 		start := f.clock.now()
 		for {
 			now := f.clock.now()
 			quiet := now.Sub(ids.Time(f.lastPacket.Load())) >= quietPeriod
-			if now.Sub(start) >= f.settings.Grace-exitMargin || (quiet && now.Sub(start) >= minStopDuration) {
+			if now.Sub(start) >= f.settings.GracePeriod-exitMargin || (quiet && now.Sub(start) >= minStopDuration) {
 				break
 			}
 			time.Sleep(quietPeriod / 10)
