--- a/cmd/capacity/main.go
+++ b/cmd/capacity/main.go
@@ -44,7 +44,7 @@
 	debug.SetMemoryLimit(memoryLimit)
 	measures := capacity.All()
 	if len(args.Only) > 0 {
-		measures = selected(measures, args.Only)
+		measures = selectMeasures(measures, args.Only)
 		return capacity.WriteSlopes(os.Stdout, capacity.RunAll(measures, args.Limit))
 	}
 	if args.From != "" {
@@ -54,13 +54,13 @@
 	if err := os.MkdirAll(args.Out, 0o755); err != nil {
 		return eris.Wrap(err, "create output directory")
 	}
-	if err := write(filepath.Join(args.Out, "slopes.csv"), results, capacity.WriteCSV); err != nil {
+	if err := writeFile(filepath.Join(args.Out, "slopes.csv"), results, capacity.WriteCSV); err != nil {
 		return err
 	}
-	if err := write(filepath.Join(args.Out, "slopes.md"), results, capacity.WriteSlopes); err != nil {
+	if err := writeFile(filepath.Join(args.Out, "slopes.md"), results, capacity.WriteSlopes); err != nil {
 		return err
 	}
-	if err := target(args, results); err != nil {
+	if err := writeTarget(args, results); err != nil {
 		return err
 	}
 	return capacity.WriteTarget(os.Stdout, results)
@@ -76,12 +76,12 @@
 	if err != nil {
 		return err
 	}
-	return target(args, results)
+	return writeTarget(args, results)
 }
 
 // target writes the figures at the target size.
-func target(args *arguments, results []capacity.Result) error {
-	if err := write(filepath.Join(args.Out, "target.md"), results, capacity.WriteTarget); err != nil {
+func writeTarget(args *arguments, results []capacity.Result) error {
+	if err := writeFile(filepath.Join(args.Out, "target.md"), results, capacity.WriteTarget); err != nil {
 		return err
 	}
 	page, err := os.ReadFile(args.Page)
@@ -94,7 +94,7 @@
 	return eris.Wrap(os.WriteFile(args.Page, page, 0o644), "write page")
 }
 
-func selected(measures []capacity.Measure, prefixes []string) []capacity.Measure {
+func selectMeasures(measures []capacity.Measure, prefixes []string) []capacity.Measure {
 	var list []capacity.Measure
 	for _, m := range measures {
 		for _, p := range prefixes {
@@ -107,7 +107,7 @@
 	return list
 }
 
-func write(path string, results []capacity.Result, to func(io.Writer, []capacity.Result) error) error {
+func writeFile(path string, results []capacity.Result, to func(io.Writer, []capacity.Result) error) error {
 	f, err := os.Create(path)
 	if err != nil {
 		return eris.Wrap(err, "create table")
--- a/cmd/experiment/main.go
+++ b/cmd/experiment/main.go
@@ -52,7 +52,7 @@
 		if err != nil {
 			return err
 		}
-		if err := save(r, filepath.Join(args.Out, e.Name)); err != nil {
+		if err := saveResult(r, filepath.Join(args.Out, e.Name)); err != nil {
 			return err
 		}
 		fmt.Println()
@@ -64,17 +64,17 @@
 	return nil
 }
 
-func save(r *experiment.Result, base string) error {
-	if err := write(base+".txt", r.WriteText); err != nil {
+func saveResult(r *experiment.Result, base string) error {
+	if err := writeFile(base+".txt", r.WriteText); err != nil {
 		return err
 	}
-	if err := write(base+".csv", r.WriteCSV); err != nil {
+	if err := writeFile(base+".csv", r.WriteCSV); err != nil {
 		return err
 	}
 	return eris.Wrap(r.SavePlot(base+".svg"), "write plot")
 }
 
-func write(path string, to func(io.Writer) error) error {
+func writeFile(path string, to func(io.Writer) error) error {
 	f, err := os.Create(path)
 	if err != nil {
 		return eris.Wrap(err, "create table")
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -25,8 +25,8 @@
 )
 
 const (
-	constantRange = 1.25
-	lineR2        = 0.98
+	maxConstantRatio = 1.25
+	minLineR2        = 0.98
 )
 
 // Fit is a least-squares line through the points of a measurement.
@@ -62,9 +62,9 @@
 		_, f.Exponent = stat.LinearRegression(lx, ly, nil, false)
 	}
 	switch least, most := slices.Min(y), slices.Max(y); {
-	case most == least || least > 0 && most <= constantRange*least:
+	case most == least || least > 0 && most <= maxConstantRatio*least:
 		f.Shape = Constant
-	case f.R2 >= lineR2:
+	case f.R2 >= minLineR2:
 		f.Shape = Line
 	default:
 		f.Shape = Curve
--- a/internal/capacity/fit_test.go
+++ b/internal/capacity/fit_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func curve(y func(x float64) float64) Fit {
+func fitFunction(y func(x float64) float64) Fit {
 	var points []Point
 	for _, x := range []float64{10, 20, 50, 100} {
 		points = append(points, Point{x, y(x)})
@@ -18,13 +18,13 @@
 
 // Guards against a curve that is reported and extrapolated as a line.
 func TestShapes(t *testing.T) {
-	line := curve(func(x float64) float64 { return 3 + 2*x })
+	line := fitFunction(func(x float64) float64 { return 3 + 2*x })
 	assert.Equal(t, line.Shape, Line)
 	assert.Assert(t, math.Abs(line.Slope-2) < 1e-9 && line.StdErr < 1e-6 && math.Abs(line.At(1000)-2003) < 1e-6)
-	square := curve(func(x float64) float64 { return x * x })
+	square := fitFunction(func(x float64) float64 { return x * x })
 	assert.Equal(t, square.Shape, Curve)
 	assert.Assert(t, math.Abs(square.At(200)-40_000) < 1 && square.At(50) == 2500)
-	flat := curve(func(x float64) float64 { return 7 })
+	flat := fitFunction(func(x float64) float64 { return 7 })
 	assert.Equal(t, flat.Shape, Constant)
 	assert.Equal(t, flat.At(1e6), 7.0)
 }
@@ -37,17 +37,17 @@
 	var b strings.Builder
 	assert.NilError(t, WriteTarget(&b, nil))
 	assert.Assert(t, !strings.Contains(b.String(), "OVER"))
-	assert.Equal(t, strings.Count(b.String(), "not measured"), strings.Count(b.String(), "\n| ")-3-noMeasure)
+	assert.Equal(t, strings.Count(b.String(), "not measured"), strings.Count(b.String(), "\n| ")-3-constantOnlyFigures)
 }
 
 // noMeasure is the number of figures that are computed from constants only.
-const noMeasure = 3
+const constantOnlyFigures = 3
 
 // Guards against a table of the target that cannot be computed again from the
 // slopes that were written.
 func TestReadsItsOwnTable(t *testing.T) {
-	m := &Measure{Name: "memory-flow", Unit: "B", Over: "open flows"}
-	written := []Result{{Measure: m, Fit: curve(func(x float64) float64 { return 10 * x }), Measured: true}}
+	m := &Measure{Name: "memory-flow", Unit: "B", SizeName: "open flows"}
+	written := []Result{{Measure: m, Fit: fitFunction(func(x float64) float64 { return 10 * x }), Measured: true}}
 	var b strings.Builder
 	assert.NilError(t, WriteCSV(&b, written))
 	read, err := ReadCSV(strings.NewReader(b.String()))
@@ -59,10 +59,10 @@
 
 // Guards against a page whose text is lost when its table is replaced.
 func TestUpdatePageKeepsText(t *testing.T) {
-	page, err := UpdatePage([]byte("before\n"+beginMark+"old\n"+endMark+"after\n"), nil)
+	page, err := UpdatePage([]byte("before\n"+beginMarker+"old\n"+endMarker+"after\n"), nil)
 	assert.NilError(t, err)
 	s := string(page)
-	assert.Assert(t, strings.HasPrefix(s, "before\n") && strings.HasSuffix(s, endMark+"after\n") && !strings.Contains(s, "old\n"))
+	assert.Assert(t, strings.HasPrefix(s, "before\n") && strings.HasSuffix(s, endMarker+"after\n") && !strings.Contains(s, "old\n"))
 	_, err = UpdatePage([]byte("no marks"), nil)
 	assert.ErrorContains(t, err, "marks")
 }
--- a/internal/capacity/fleet_test.go
+++ b/internal/capacity/fleet_test.go
@@ -11,28 +11,28 @@
 // reaches it without the links and the platform.
 func TestFleetBringsChangesIntoForce(t *testing.T) {
 	f := newFleet(12, 3, 2, controlRate)
-	f.warm()
-	assert.Assert(t, f.agreed())
-	assert.Equal(t, f.await(f.revision), 0.0)
+	f.warmUp()
+	assert.Assert(t, f.converged())
+	assert.Equal(t, f.awaitRevision(f.revision), 0.0)
 	assert.Equal(t, len(f.watches), 2)
-	f.bytes, f.reads = 0, 0
-	r := f.change(0)
-	took := f.await(r)
+	f.sentBytes, f.platformReads = 0, 0
+	r := f.publishChange(0)
+	took := f.awaitRevision(r)
 	assert.Assert(t, took > platformDelay.Seconds() && took < 5, "%v", took)
 	for _, n := range f.nodes {
 		assert.Equal(t, n.core.Revision(), r)
 	}
 	f.run(5 * time.Second)
-	assert.Assert(t, f.reads >= 2 && f.bytes > 0) // both watches, repeated
-	assert.Assert(t, f.agreed())
+	assert.Assert(t, f.platformReads >= 2 && f.sentBytes > 0) // both watches, repeated
+	assert.Assert(t, f.converged())
 }
 
 // Guards against a node that does not serve, which would measure rejections.
 func TestNodeServes(t *testing.T) {
-	n := newNode(size{members: 20, services: 10, targets: 4, dataCentres: 2})
-	assert.Assert(t, n.service != "")
+	n := newNode(clusterSize{members: 20, services: 10, targets: 4, dataCentres: 2})
+	assert.Assert(t, n.ownedService != "")
 	assert.Equal(t, n.core.Snapshot().Lifecycle, "serving")
-	assert.Equal(t, n.exchange(datagram(false), callerAddress(1)), 2)
+	assert.Equal(t, n.exchange(newRequest(false), callerAddress(1)), 2)
 	assert.Equal(t, n.core.Counts().Answered, uint64(1))
 	n.openFeeds(10)
 	assert.Equal(t, n.core.Snapshot().Feeds, 10)
--- a/internal/capacity/fleetslopes.go
+++ b/internal/capacity/fleetslopes.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	fleetServices = 20
-	fleetTargets  = 4
-	hourChanges   = 15_000 / 24
-	startBytes    = 128 << 10 // default of link.start_bytes
+	fleetServices  = 20
+	fleetTargets   = 4
+	changesPerHour = 15_000 / 24
+	startBytes     = 128 << 10 // default of link.start_bytes
 	// changeGap is the mean time between two of 15,000 changes a day.
-	changeGap  = 24 * time.Hour / 15_000
-	forceLimit = 60 * time.Second // a change that takes longer counts as this
-	coldLimit  = 180 * time.Second
+	changeInterval     = 24 * time.Hour / 15_000
+	propagationTimeout = 60 * time.Second // a change that takes longer counts as this
+	convergenceTimeout = 180 * time.Second
 )
 
 func fleetMeasures() []Measure {
@@ -31,32 +31,32 @@
 	healed := map[float64][2]float64{}
 	heal := func(x float64) [2]float64 {
 		if _, ok := healed[x]; !ok {
-			healed[x] = catchUp(int(x))
+			healed[x] = measurePartitionRecovery(int(x))
 		}
 		return healed[x]
 	}
 	return []Measure{
-		{Name: "peer-bytes-instances", Unit: "B/s", Over: "instances", Sizes: instances,
-			Run: func(x float64) float64 { return outcome(x).bytes }, Note: "control bytes an instance sends at rest, framing included"},
-		{Name: "in-force-daily", Unit: "s", Over: "instances", Sizes: instances,
-			Run: func(x float64) float64 { return outcome(x).daily }, Note: "greatest time until one change of 15,000 a day is in force at all"},
-		{Name: "in-force-burst", Unit: "s", Over: "instances", Sizes: instances,
-			Run: func(x float64) float64 { return outcome(x).burst }, Note: "time from the last of 10 changes in a second until all are in force at all"},
-		{Name: "reads-instances", Unit: "reads/s", Over: "instances", Sizes: instances,
-			Run: func(x float64) float64 { return outcome(x).reads }, Note: "of documents by one data centre at rest over 60 s; the list of instances adds 0.1/s each"},
-		{Name: "peer-bytes-targets", Unit: "B/s", Over: "targets", Sizes: []float64{80, 320, 1280, 4000},
-			Run: func(x float64) float64 { return runFleet(10, int(x)/fleetServices, 0).bytes }, Note: "the same with 10 instances"},
-		{Name: "peer-bytes-change", Unit: "B", Over: "changes", Sizes: []float64{4, 8, 16, 32},
+		{Name: "peer-bytes-instances", Unit: "B/s", SizeName: "instances", Sizes: instances,
+			Run: func(x float64) float64 { return outcome(x).idleBytes }, Note: "control bytes an instance sends at rest, framing included"},
+		{Name: "in-force-daily", Unit: "s", SizeName: "instances", Sizes: instances,
+			Run: func(x float64) float64 { return outcome(x).dailyDelay }, Note: "greatest time until one change of 15,000 a day is in force at all"},
+		{Name: "in-force-burst", Unit: "s", SizeName: "instances", Sizes: instances,
+			Run: func(x float64) float64 { return outcome(x).burstDelay }, Note: "time from the last of 10 changes in a second until all are in force at all"},
+		{Name: "reads-instances", Unit: "reads/s", SizeName: "instances", Sizes: instances,
+			Run: func(x float64) float64 { return outcome(x).idleReads }, Note: "of documents by one data centre at rest over 60 s; the list of instances adds 0.1/s each"},
+		{Name: "peer-bytes-targets", Unit: "B/s", SizeName: "targets", Sizes: []float64{80, 320, 1280, 4000},
+			Run: func(x float64) float64 { return runFleet(10, int(x)/fleetServices, 0).idleBytes }, Note: "the same with 10 instances"},
+		{Name: "peer-bytes-change", Unit: "B", SizeName: "changes", Sizes: []float64{4, 8, 16, 32},
 			Run: func(x float64) float64 { return runFleet(50, fleetTargets, int(x)).changeBytes }, Note: "sent by one of 50 instances beyond its bytes at rest"},
-		{Name: "reads-change", Unit: "reads", Over: "changes", Sizes: []float64{4, 8, 16, 32},
+		{Name: "reads-change", Unit: "reads", SizeName: "changes", Sizes: []float64{4, 8, 16, 32},
 			Run: func(x float64) float64 { return float64(runFleet(50, fleetTargets, int(x)).changeReads) }, Note: "of documents by one data centre"},
-		{Name: "cold-start", Unit: "s", Over: "instances", Sizes: []float64{5, 10, 20, 40},
-			Run: func(x float64) float64 { return coldStart(int(x), controlRate, 0) }, Note: "until all know all as serving, 2,048 B/s each without link.start_bytes, 180 s at most"},
-		{Name: "cold-start-grant", Unit: "s", Over: "instances", Sizes: []float64{40, 80, 160, 300},
-			Run: func(x float64) float64 { return coldStart(int(x), controlRate, startBytes) }, Note: "the same with 2,048 B/s and link.start_bytes"},
-		{Name: "heal-seconds", Unit: "s", Over: "instances", Sizes: []float64{5, 10, 20, 30},
+		{Name: "cold-start", Unit: "s", SizeName: "instances", Sizes: []float64{5, 10, 20, 40},
+			Run: func(x float64) float64 { return measureColdStart(int(x), controlRate, 0) }, Note: "until all know all as serving, 2,048 B/s each without link.start_bytes, 180 s at most"},
+		{Name: "cold-start-grant", Unit: "s", SizeName: "instances", Sizes: []float64{40, 80, 160, 300},
+			Run: func(x float64) float64 { return measureColdStart(int(x), controlRate, startBytes) }, Note: "the same with 2,048 B/s and link.start_bytes"},
+		{Name: "heal-seconds", Unit: "s", SizeName: "instances", Sizes: []float64{5, 10, 20, 30},
 			Run: func(x float64) float64 { return heal(x)[0] }, Note: "after a partition from the platform, until 625 changes are in force at all, 180 s at most"},
-		{Name: "heal-reads", Unit: "reads/s", Over: "instances", Sizes: []float64{5, 10, 20, 30},
+		{Name: "heal-reads", Unit: "reads/s", SizeName: "instances", Sizes: []float64{5, 10, 20, 30},
 			Run: func(x float64) float64 { return heal(x)[1] }, Note: "in the busiest second of the same, one data centre"},
 	}
 }
@@ -64,24 +64,24 @@
 // catchUp parts a data centre from the platform, publishes an hour of changes,
 // ends the partition, and returns the seconds until they are in force at every
 // instance and the reads of the platform in the busiest second.
-func catchUp(instances int) [2]float64 {
-	f := newFleet(instances, hourChanges, fleetTargets, controlRate)
-	f.warm()
-	f.down = true
-	f.endWatches(f.now.Add(watchWait))
+func measurePartitionRecovery(instances int) [2]float64 {
+	f := newFleet(instances, changesPerHour, fleetTargets, controlRate)
+	f.warmUp()
+	f.platformDown = true
+	f.expireWatches(f.now.Add(watchTimeout))
 	f.run(2 * time.Second)
 	var last ids.Revision
-	for i := range hourChanges {
+	for i := range changesPerHour {
 		last = f.publish("service/"+string(serviceName(i)), serviceDocument(i, fleetTargets, "dc0", int(f.revision)))
 	}
 	f.run(90 * time.Second) // the time between attempts reaches its maximum
-	f.down = false
+	f.platformDown = false
 	begin, most := f.now, 0
-	for f.now.Sub(begin) < coldLimit {
-		before := f.reads
+	for f.now.Sub(begin) < convergenceTimeout {
+		before := f.platformReads
 		f.run(time.Second)
-		most = max(most, f.reads-before)
-		if f.reached(last) {
+		most = max(most, f.platformReads-before)
+		if f.hasRevision(last) {
 			break
 		}
 	}
@@ -89,71 +89,71 @@
 }
 
 // reached reports whether revision r is in force at every instance.
-func (f *fleet) reached(r ids.Revision) bool {
+func (f *fleet) hasRevision(r ids.Revision) bool {
 	return !slices.ContainsFunc(f.nodes, func(n *fleetNode) bool { return n.core.Revision() < r })
 }
 
 // fleetOutcome is what one run of a fleet shows.
 type fleetOutcome struct {
-	bytes, reads float64 // each second at rest: sent by one instance, by all
-	daily, burst float64 // seconds
-	changeBytes  float64 // sent by one instance for all daily changes
-	changeReads  int
-	dropped      int
+	idleBytes, idleReads   float64 // each second at rest: sent by one instance, by all
+	dailyDelay, burstDelay float64 // seconds
+	changeBytes            float64 // sent by one instance for all daily changes
+	changeReads            int
+	droppedHeartbeats      int
 }
 
 // runFleet measures a warm data centre at rest, then changes at the daily rate,
 // then a burst. Without changes it ends after the rest.
 func runFleet(instances, targets, changes int) fleetOutcome {
 	f := newFleet(instances, fleetServices, targets, controlRate)
-	f.warm()
-	if !f.agreed() {
+	f.warmUp()
+	if !f.converged() {
 		f.run(20 * time.Second)
 	}
-	if !f.agreed() {
+	if !f.converged() {
 		panic("capacity: the instances of a warm fleet do not agree")
 	}
 	var o fleetOutcome
 	rest := 10 * time.Second
-	f.bytes = 0
+	f.sentBytes = 0
 	f.run(rest)
-	o.bytes = f.bytes / rest.Seconds() / float64(instances)
+	o.idleBytes = f.sentBytes / rest.Seconds() / float64(instances)
 	if changes == 0 {
 		return o
 	}
-	f.bytes, f.reads = 0, 0
+	f.sentBytes, f.platformReads = 0, 0
 	begin := f.now
 	for i := range changes {
-		next := f.now.Add(changeGap)
-		r := f.change(i)
-		o.daily = max(o.daily, f.await(r))
+		next := f.now.Add(changeInterval)
+		r := f.publishChange(i)
+		o.dailyDelay = max(o.dailyDelay, f.awaitRevision(r))
 		f.run(next.Sub(f.now))
 	}
-	o.changeBytes = f.bytes/float64(instances) - o.bytes*f.now.Sub(begin).Seconds()
-	o.changeReads = f.reads
+	o.changeBytes = f.sentBytes/float64(instances) - o.idleBytes*f.now.Sub(begin).Seconds()
+	o.changeReads = f.platformReads
 	var last ids.Revision
 	for i := range 10 {
-		last = f.change(i)
+		last = f.publishChange(i)
 		f.run(100 * time.Millisecond)
 	}
-	o.burst = f.await(last) + 0.1
-	f.reads = 0
+	o.burstDelay = f.awaitRevision(last) + 0.1
+	f.platformReads = 0
 	f.run(60 * time.Second)
-	o.reads = float64(f.reads) / 60
-	o.dropped = f.dropped
+	o.idleReads = float64(f.platformReads) / 60
+	o.droppedHeartbeats = f.droppedHeartbeats
 	return o
 }
 
 // change publishes a new version of service i.
-func (f *fleet) change(i int) ids.Revision {
+func (f *fleet) publishChange(i int) ids.Revision {
 	i %= fleetServices
 	return f.publish("service/"+string(serviceName(i)), serviceDocument(i, fleetTargets, "dc0", int(f.revision)))
 }
 
 // await returns the seconds until revision r is in force at every instance.
-func (f *fleet) await(r ids.Revision) float64 {
+func (f *fleet) awaitRevision(r ids.Revision) float64 {
 	begin := f.now
-	for waiting := f.nodes; f.now.Sub(begin) < forceLimit; f.run(tickEvery) {
+	for waiting := f.nodes; f.now.Sub(begin) < propagationTimeout; f.run(tickInterval) {
 		var left []*fleetNode
 		for _, n := range waiting {
 			if n.core.Revision() < r {
@@ -169,21 +169,21 @@
 
 // coldStart starts all instances at once, with one seed list, and returns the
 // seconds until they agree.
-func coldStart(instances, rate, granted int) float64 {
+func measureColdStart(instances, rate, granted int) float64 {
 	f := newFleet(instances, fleetServices, fleetTargets, rate)
-	f.granted = granted
-	f.limit()
+	f.initialBytes = granted
+	f.applyRateLimit()
 	var seeds []core.ListedInstance
 	for i := range instances {
 		m := memberRecord(i, 0, 0)
 		seeds = append(seeds, core.ListedInstance{ID: m.ID, DataCentre: m.DataCentre, PeerAddr: m.PeerAddr})
 	}
 	for _, n := range f.nodes {
-		f.call(n, func(out *core.Effects) { n.core.HandleInstances(f.now, &core.InstancesEvent{Instances: seeds}, out) })
+		f.invoke(n, func(out *core.Effects) { n.core.HandleInstances(f.now, &core.InstancesEvent{Instances: seeds}, out) })
 	}
-	for f.now.Sub(epoch) < coldLimit {
+	for f.now.Sub(epoch) < convergenceTimeout {
 		f.run(500 * time.Millisecond)
-		if f.agreed() {
+		if f.converged() {
 			break
 		}
 	}
--- a/internal/capacity/links.go
+++ b/internal/capacity/links.go
@@ -19,65 +19,65 @@
 
 func linkMeasures() []Measure {
 	return []Measure{
-		{Name: "memory-peer", Unit: "B", Over: "connections", Sizes: []float64{8, 16, 32, 64}, Run: linkMemory,
+		{Name: "memory-peer", Unit: "B", SizeName: "connections", Sizes: []float64{8, 16, 32, 64}, Run: measureLinkMemory,
 			Note: "both ends of one data lane over TLS; a peer at one instance takes half"},
-		{Name: "processor-peer-message", Unit: "µs", Over: "peer messages", Sizes: []float64{5_000, 10_000, 20_000, 40_000},
-			Run: linkProcessor, Note: "relay of 128 B over TLS, both ends together"},
+		{Name: "processor-peer-message", Unit: "µs", SizeName: "peer messages", Sizes: []float64{5_000, 10_000, 20_000, 40_000},
+			Run: measurePeerMessageCPU, Note: "relay of 128 B over TLS, both ends together"},
 	}
 }
 
 // links is a hub with a link manager and others that it sends to.
-type links struct {
-	dir      string
-	ca       *keys.CA
-	mu       sync.Mutex
-	book     map[ids.Instance]string
-	managers []*link.Manager
-	received atomic.Int64
+type linkNetwork struct {
+	dir       string
+	ca        *keys.CA
+	mu        sync.Mutex
+	addresses map[ids.Instance]string
+	managers  []*link.Manager
+	received  atomic.Int64
 }
 
-func newLinks() *links {
+func newLinkNetwork() *linkNetwork {
 	dir, err := os.MkdirTemp("", "capacity")
-	check(err)
-	l := &links{dir: dir, book: map[ids.Instance]string{}}
+	panicOnError(err)
+	l := &linkNetwork{dir: dir, addresses: map[ids.Instance]string{}}
 	l.ca, err = keys.CreateCA(dir, "fleet", time.Hour)
-	check(err)
+	panicOnError(err)
 	return l
 }
 
 // check panics on an error of the loopback or the temporary directory, without
 // which nothing can be measured.
-func check(err error) {
+func panicOnError(err error) {
 	if err != nil {
 		panic(fmt.Sprint("capacity: ", err))
 	}
 }
 
-func (l *links) start(id ids.Instance) *link.Manager {
-	check(l.ca.Issue(l.dir, id, time.Hour))
+func (l *linkNetwork) start(id ids.Instance) *link.Manager {
+	panicOnError(l.ca.Issue(l.dir, id, time.Hour))
 	credentials, err := link.LoadCredentials(id, filepath.Join(l.dir, "ca.crt"),
 		filepath.Join(l.dir, string(id)+".crt"), filepath.Join(l.dir, string(id)+".key"))
-	check(err)
+	panicOnError(err)
 	m := link.New(link.Config{Self: id, Credentials: credentials, Budget: 1 << 20, Queue: 1024, DataIdle: time.Minute,
 		Log: slog.New(slog.DiscardHandler), Metrics: telemetry.NewRegistry(),
 		Address: func(id ids.Instance) (string, bool) {
 			l.mu.Lock()
 			defer l.mu.Unlock()
-			a, ok := l.book[id]
+			a, ok := l.addresses[id]
 			return a, ok
 		},
 		Receive: func(*peerwire.Message) { l.received.Add(1) }})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	check(err)
+	panicOnError(err)
 	l.mu.Lock()
-	l.book[id] = listener.Addr().String()
+	l.addresses[id] = listener.Addr().String()
 	l.mu.Unlock()
 	go func() { _ = m.Serve(listener) }()
 	l.managers = append(l.managers, m)
 	return m
 }
 
-func (l *links) close() {
+func (l *linkNetwork) close() {
 	for _, m := range l.managers {
 		m.Close()
 	}
@@ -85,7 +85,7 @@
 }
 
 // await waits until count messages have arrived, at most 10 s.
-func (l *links) await(count int64) {
+func (l *linkNetwork) awaitReceived(count int64) {
 	for end := time.Now().Add(10 * time.Second); l.received.Load() < count; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			panic(fmt.Sprintf("capacity: %d of %d peer messages arrived", l.received.Load(), count))
@@ -93,41 +93,41 @@
 	}
 }
 
-func relay() *peerwire.Message {
+func relayMessage() *peerwire.Message {
 	return &peerwire.Message{From: "hub", Relay: &peerwire.Relay{Service: "s", Caller: "127.0.0.1:1", Datagram: make([]byte, 128), Hops: 1}}
 }
 
-func linkMemory(x float64) float64 {
-	l := newLinks()
+func measureLinkMemory(x float64) float64 {
+	l := newLinkNetwork()
 	defer l.close()
 	hub := l.start("hub")
 	for i := range int(x) {
 		l.start(instanceName(i))
 	}
-	return retained(func() any {
+	return retainedBytes(func() any {
 		for i := range int(x) {
-			hub.Send(instanceName(i), relay())
+			hub.Send(instanceName(i), relayMessage())
 		}
-		l.await(int64(x))
+		l.awaitReceived(int64(x))
 		time.Sleep(100 * time.Millisecond) // handshake goroutines end
 		return hub
 	})
 }
 
-func linkProcessor(x float64) float64 {
-	l := newLinks()
+func measurePeerMessageCPU(x float64) float64 {
+	l := newLinkNetwork()
 	defer l.close()
 	hub := l.start("hub")
 	l.start("peer")
-	hub.Send("peer", relay())
-	l.await(1)
-	return processor(func() {
+	hub.Send("peer", relayMessage())
+	l.awaitReceived(1)
+	return leastCPUTime(func() {
 		want := l.received.Load() + int64(x)
 		for range int(x) {
-			for !hub.Send("peer", relay()) { // the queue is full
+			for !hub.Send("peer", relayMessage()) { // the queue is full
 				time.Sleep(200 * time.Microsecond)
 			}
 		}
-		l.await(want)
+		l.awaitReceived(want)
 	})
 }
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -7,9 +7,9 @@
 
 // Measure is a quantity over the size that it depends on.
 type Measure struct {
-	Name string // identifies it in the tables
-	Unit string
-	Over string // what the sizes count
+	Name     string // identifies it in the tables
+	Unit     string
+	SizeName string // what the sizes count
 	// Sizes are four or more, so that a curve can be told from a line.
 	Sizes []float64
 	Run   func(size float64) float64
@@ -23,7 +23,7 @@
 	*Measure
 	Fit
 	Measured bool
-	Took     time.Duration
+	Elapsed  time.Duration
 }
 
 // RunAll runs the measures until the limit. A measure that has begun is
@@ -43,11 +43,11 @@
 			}
 			points = append(points, Point{size, m.Run(size)})
 		}
-		r.Took = time.Since(begin)
+		r.Elapsed = time.Since(begin)
 		if r.Measured = len(points) >= 4; r.Measured {
 			r.Fit = NewFit(points)
 		}
-		slog.Info("measured", "name", m.Name, "complete", r.Measured, "slope", r.Slope, "r2", r.R2, "seconds", r.Took.Seconds())
+		slog.Info("measured", "name", m.Name, "complete", r.Measured, "slope", r.Slope, "r2", r.R2, "seconds", r.Elapsed.Seconds())
 	}
 	return results
 }
--- a/internal/capacity/memory.go
+++ b/internal/capacity/memory.go
@@ -10,32 +10,32 @@
 
 func memoryMeasures() []Measure {
 	return []Measure{
-		{Name: "memory-flow", Unit: "B", Over: "open flows", Sizes: []float64{25_000, 50_000, 100_000, 200_000},
-			Run: feedMemory, Note: "established feeds of one caller each, in a core"},
-		{Name: "memory-admission", Unit: "B", Over: "admissions", Sizes: []float64{8_000, 16_000, 32_000, 64_000},
-			Run: admissionMemory, Note: "answered, with a stored response of 64 B"},
-		{Name: "memory-target", Unit: "B", Over: "targets", Sizes: []float64{3_500, 7_000, 14_000, 28_000},
-			Run:  func(x float64) float64 { return nodeMemory(size{500, 1000, int(x) / 1000, 5}) },
+		{Name: "memory-flow", Unit: "B", SizeName: "open flows", Sizes: []float64{25_000, 50_000, 100_000, 200_000},
+			Run: measureFeedMemory, Note: "established feeds of one caller each, in a core"},
+		{Name: "memory-admission", Unit: "B", SizeName: "admissions", Sizes: []float64{8_000, 16_000, 32_000, 64_000},
+			Run: measureAdmissionMemory, Note: "answered, with a stored response of 64 B"},
+		{Name: "memory-target", Unit: "B", SizeName: "targets", Sizes: []float64{3_500, 7_000, 14_000, 28_000},
+			Run:  func(x float64) float64 { return measureNodeMemory(clusterSize{500, 1000, int(x) / 1000, 5}) },
 			Note: "document, resolved target and placement; 1,000 services, one in 5 of the own data centre"},
-		{Name: "memory-address", Unit: "B", Over: "service addresses", Sizes: []float64{850, 1700, 3400, 6800},
-			Run:  func(x float64) float64 { return nodeMemory(size{500, int(x), 4, 5}) },
+		{Name: "memory-address", Unit: "B", SizeName: "service addresses", Sizes: []float64{850, 1700, 3400, 6800},
+			Run:  func(x float64) float64 { return measureNodeMemory(clusterSize{500, int(x), 4, 5}) },
 			Note: "service with 4 targets, without its socket (ServiceSockets in make bench)"},
-		{Name: "memory-member", Unit: "B", Over: "members", Sizes: []float64{250, 500, 1000, 2500},
-			Run: func(x float64) float64 { return nodeMemory(size{int(x), 1, 4, 1}) }, Note: "record, ring and placement lists"},
+		{Name: "memory-member", Unit: "B", SizeName: "members", Sizes: []float64{250, 500, 1000, 2500},
+			Run: func(x float64) float64 { return measureNodeMemory(clusterSize{int(x), 1, 4, 1}) }, Note: "record, ring and placement lists"},
 	}
 }
 
-func feedMemory(x float64) float64 {
-	n := newNode(size{1, 1, 15, 1})
-	return retained(func() any {
+func measureFeedMemory(x float64) float64 {
+	n := newNode(clusterSize{1, 1, 15, 1})
+	return retainedBytes(func() any {
 		n.openFeeds(int(x))
 		return n
 	})
 }
 
-func admissionMemory(x float64) float64 {
+func measureAdmissionMemory(x float64) float64 {
 	response := make([]byte, 64)
-	return retained(func() any {
+	return retainedBytes(func() any {
 		t := admission.NewTable(1)
 		for i := range int(x) {
 			token := admission.Token{Incarnation: 1, IssuedMS: uint64(epoch / 1e6)}
@@ -48,9 +48,9 @@
 	})
 }
 
-func nodeMemory(s size) float64 {
+func measureNodeMemory(s clusterSize) float64 {
 	var n *node
-	used := retained(func() any {
+	used := retainedBytes(func() any {
 		n = newNode(s)
 		return n
 	})
--- a/internal/capacity/node.go
+++ b/internal/capacity/node.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	epoch     ids.Time = 1_700_000_000_000_000_000
-	tickEvery          = 10 * time.Millisecond
-	gap                = 20 * time.Microsecond // between two events of a node
+	epoch         ids.Time = 1_700_000_000_000_000_000
+	tickInterval           = 10 * time.Millisecond
+	eventInterval          = 20 * time.Microsecond // between two events of a node
 )
 
 const profileText = `
@@ -35,7 +35,7 @@
 retry_after_max_ms = %d
 `
 
-func profile(version int) []byte { return fmt.Appendf(nil, profileText, 8000+version%1000) }
+func profileDocument(version int) []byte { return fmt.Appendf(nil, profileText, 8000+version%1000) }
 
 // serviceDocument is service i with targets in data centre dc.
 func serviceDocument(i, targets int, dc ids.DataCentre, version int) []byte {
@@ -69,19 +69,19 @@
 
 // node is one core among members that serve and agree with it.
 type node struct {
-	core     *core.Core
-	now      ids.Time
-	ticked   ids.Time
-	out      core.Effects
-	revision ids.Revision
-	service  ids.Service // one of which the node owns a slot
+	core         *core.Core
+	now          ids.Time
+	lastTick     ids.Time
+	effects      core.Effects
+	revision     ids.Revision
+	ownedService ids.Service // one of which the node owns a slot
 }
 
 // size of the surroundings of a node. One in dataCentres of the services has
 // its targets in the data centre of the node.
-type size struct{ members, services, targets, dataCentres int }
+type clusterSize struct{ members, services, targets, dataCentres int }
 
-func newNode(s size) *node {
+func newNode(s clusterSize) *node {
 	n := &node{core: newCore(0), now: epoch}
 	n.tick()
 	delta := &peerwire.MemberDelta{}
@@ -89,54 +89,54 @@
 		delta.Members = append(delta.Members, memberRecord(i, peerwire.Serving, 1))
 	}
 	if s.members > 1 {
-		n.peer(&peerwire.Message{From: instanceName(1), Incarnation: 2, MemberDelta: delta})
+		n.handlePeer(&peerwire.Message{From: instanceName(1), Incarnation: 2, MemberDelta: delta})
 	}
-	documents := []core.Publication{{Key: "profile/standard", Revision: 1, Value: profile(0)}}
+	documents := []core.Publication{{Key: "profile/standard", Revision: 1, Value: profileDocument(0)}}
 	for i := range s.services {
 		dc := ids.DataCentre(fmt.Sprintf("dc%d", i%max(1, s.dataCentres)))
 		documents = append(documents, core.Publication{Key: "service/" + string(serviceName(i)), Revision: ids.Revision(i + 2),
 			Value: serviceDocument(i, s.targets, dc, 0)})
 	}
-	n.config(documents)
+	n.applyConfig(documents)
 	for range 600 {
-		n.now = n.now.Add(tickEvery)
+		n.now = n.now.Add(tickInterval)
 		n.tick()
 	}
 	for _, state := range n.core.Snapshot().Services {
 		if state.Owned > 0 {
-			n.service = state.Service
+			n.ownedService = state.Service
 			break
 		}
 	}
 	return n
 }
 
-func (n *node) config(documents []core.Publication) {
+func (n *node) applyConfig(documents []core.Publication) {
 	n.revision = max(n.revision, documents[len(documents)-1].Revision)
-	n.out.Reset()
-	n.core.HandleConfig(n.now, &core.ConfigEvent{Documents: documents, Revision: n.revision}, &n.out)
-	for i := range n.out.List {
-		if e := &n.out.List[i]; e.Event == "config-refused" {
+	n.effects.Reset()
+	n.core.HandleConfig(n.now, &core.ConfigEvent{Documents: documents, Revision: n.revision}, &n.effects)
+	for i := range n.effects.List {
+		if e := &n.effects.List[i]; e.Event == "config-refused" {
 			panic("capacity: " + e.Detail)
 		}
 	}
 }
 
-func (n *node) peer(m *peerwire.Message) {
-	n.out.Reset()
-	n.core.HandlePeer(n.now, &core.PeerEvent{Message: m}, &n.out)
+func (n *node) handlePeer(m *peerwire.Message) {
+	n.effects.Reset()
+	n.core.HandlePeer(n.now, &core.PeerEvent{Message: m}, &n.effects)
 }
 
 // tick advances the core and answers as its neighbours and the platform do:
 // with the same view and configuration, so that nothing changes.
 func (n *node) tick() {
-	n.ticked = n.now
-	n.out.Reset()
-	n.core.Tick(n.now, &n.out)
+	n.lastTick = n.now
+	n.effects.Reset()
+	n.core.Tick(n.now, &n.effects)
 	var replies []*peerwire.Message
 	read := false
-	for i := range n.out.List {
-		e := &n.out.List[i]
+	for i := range n.effects.List {
+		e := &n.effects.List[i]
 		switch {
 		case e.Kind == core.ToPeer && e.PeerMessage.Heartbeat != nil:
 			h := *e.PeerMessage.Heartbeat
@@ -147,25 +147,25 @@
 		}
 	}
 	for _, m := range replies {
-		n.peer(m)
+		n.handlePeer(m)
 	}
 	if read {
-		n.out.Reset()
-		n.core.HandleConfig(n.now, &core.ConfigEvent{Revision: n.revision}, &n.out)
+		n.effects.Reset()
+		n.core.HandleConfig(n.now, &core.ConfigEvent{Revision: n.revision}, &n.effects)
 	}
 }
 
 // step advances the clock between two events, with the ticks that keep the
 // core from taking the time for a pause.
-func (n *node) step() {
-	n.now = n.now.Add(gap)
-	if n.now.Sub(n.ticked) > 500*time.Millisecond {
+func (n *node) advanceClock() {
+	n.now = n.now.Add(eventInterval)
+	if n.now.Sub(n.lastTick) > 500*time.Millisecond {
 		n.tick()
 	}
 }
 
 // datagram builds a request; observe makes it a registration.
-func datagram(observe bool) *message.Message {
+func newRequest(observe bool) *message.Message {
 	o := &message.Outgoing{Type: message.Confirmable, Code: message.GET, ID: 1, Payload: make([]byte, 64),
 		Token: message.Token{Len: 4, Bytes: [8]byte{1, 2, 3, 4}}, SetObserve: observe}
 	raw, err := message.Encode(nil, o)
@@ -186,28 +186,28 @@
 // exchange sends m from a caller and lets the backend server respond at once.
 // It returns the number of calls of the core.
 func (n *node) exchange(m *message.Message, caller ids.Endpoint) int {
-	n.step()
-	n.out.Reset()
-	n.core.HandleCaller(n.now, &core.CallerEvent{Service: n.service, Caller: caller, Message: m}, &n.out)
+	n.advanceClock()
+	n.effects.Reset()
+	n.core.HandleCaller(n.now, &core.CallerEvent{Service: n.ownedService, Caller: caller, Message: m}, &n.effects)
 	var from ids.Endpoint
 	reply := message.Message{Type: message.Acknowledgement, Code: message.Content, HasObserve: m.HasObserve, Observe: 1, MaxAge: 3600}
-	for i := range n.out.List {
-		if e := &n.out.List[i]; e.Kind == core.ToBackend {
+	for i := range n.effects.List {
+		if e := &n.effects.List[i]; e.Kind == core.ToBackend {
 			from, reply.ID, reply.Token, reply.Raw = e.Endpoint, e.Datagram.ID, e.Datagram.Token, e.Datagram.Template
 		}
 	}
 	if !from.IsValid() {
 		return 1
 	}
-	n.out.Reset()
-	n.core.HandleBackend(n.now, &core.BackendEvent{From: from, Message: &reply}, &n.out)
+	n.effects.Reset()
+	n.core.HandleBackend(n.now, &core.BackendEvent{From: from, Message: &reply}, &n.effects)
 	return 2
 }
 
 // openFeeds registers feeds until the node holds count of them. Callers whose
 // home is another instance are relayed and do not count.
 func (n *node) openFeeds(count int) {
-	m := datagram(true)
+	m := newRequest(true)
 	for i, open := 0, 0; open < count; i++ {
 		m.ID = uint16(i)
 		if n.exchange(m, callerAddress(i)) == 2 {
--- a/internal/capacity/ownership.go
+++ b/internal/capacity/ownership.go
@@ -16,16 +16,16 @@
 func ownershipMeasures() []Measure {
 	sizes := []float64{100, 200, 350, 500}
 	return []Measure{
-		{Name: "ownership-leave", Unit: "µs", Over: "instances", Sizes: sizes, Note: "processor time at each instance when one leaves, 11,600 slots",
-			Run: func(x float64) float64 { return membershipChange(int(x), 1) }},
-		{Name: "ownership-rack", Unit: "µs", Over: "instances", Sizes: sizes, Note: "the same when 40 leave at once",
-			Run: func(x float64) float64 { return membershipChange(int(x), 40) }},
+		{Name: "ownership-leave", Unit: "µs", SizeName: "instances", Sizes: sizes, Note: "processor time at each instance when one leaves, 11,600 slots",
+			Run: func(x float64) float64 { return measureMembershipChangeCPU(int(x), 1) }},
+		{Name: "ownership-rack", Unit: "µs", SizeName: "instances", Sizes: sizes, Note: "the same when 40 leave at once",
+			Run: func(x float64) float64 { return measureMembershipChangeCPU(int(x), 40) }},
 	}
 }
 
 // membershipChange returns the processor time for the loss of lost instances;
 // they join again outside of the measurement.
-func membershipChange(instances, lost int) float64 {
+func measureMembershipChangeCPU(instances, lost int) float64 {
 	all := make([]ids.Instance, instances)
 	for i := range all {
 		all[i] = instanceName(i)
@@ -41,8 +41,8 @@
 		t.SetService(epoch, r)
 	}
 	least := 0.0
-	for i := range repeats {
-		took := processorOnce(func() { t.SetInstances(epoch, all[:instances-lost]) })
+	for i := range cpuTimeRuns {
+		took := cpuTimeOnce(func() { t.SetInstances(epoch, all[:instances-lost]) })
 		if t.SetInstances(epoch, all); i == 0 || took < least {
 			least = took
 		}
--- a/internal/capacity/processor.go
+++ b/internal/capacity/processor.go
@@ -17,46 +17,46 @@
 
 // target is the size of the surroundings of a node at the target size: the 500
 // instances of one data centre, all services and targets.
-var target = size{members: 500, services: 6800, targets: 4, dataCentres: 5}
+var targetSize = clusterSize{members: 500, services: 6800, targets: 4, dataCentres: 5}
 
 func processorMeasures() []Measure {
 	events := []float64{10_000, 20_000, 40_000, 80_000}
 	var shared *node
 	at := func() *node { // one node at the target size serves several measures
 		if shared == nil {
-			shared = newNode(target)
+			shared = newNode(targetSize)
 		}
 		return shared
 	}
 	return []Measure{
-		{Name: "processor-datagram", Unit: "µs", Over: "datagrams", Sizes: events, Run: datagramProcessor,
+		{Name: "processor-datagram", Unit: "µs", SizeName: "datagrams", Sizes: events, Run: measureDatagramCPU,
 			Note: "socket read, decode, encode and socket write; both ends of the sockets in this process"},
-		{Name: "processor-decision", Unit: "µs", Over: "decisions", Sizes: events, Note: "at the target size",
-			Run: func(x float64) float64 { return exchangeProcessor(at(), int(x)) }},
-		{Name: "processor-heartbeat", Unit: "µs", Over: "heartbeats", Sizes: events, Note: "encode, decode and handle, 500 members",
-			Run: func(x float64) float64 { return heartbeatProcessor(at(), int(x)) }},
-		{Name: "processor-health", Unit: "µs", Over: "health samples", Sizes: events, Note: "handle one result in the core",
-			Run: func(x float64) float64 { return healthProcessor(at(), int(x)) }},
-		{Name: "processor-health-http", Unit: "µs", Over: "health checks", Sizes: []float64{500, 1000, 2000, 4000}, Run: healthHTTP,
+		{Name: "processor-decision", Unit: "µs", SizeName: "decisions", Sizes: events, Note: "at the target size",
+			Run: func(x float64) float64 { return measureExchangeCPU(at(), int(x)) }},
+		{Name: "processor-heartbeat", Unit: "µs", SizeName: "heartbeats", Sizes: events, Note: "encode, decode and handle, 500 members",
+			Run: func(x float64) float64 { return measureHeartbeatCPU(at(), int(x)) }},
+		{Name: "processor-health", Unit: "µs", SizeName: "health samples", Sizes: events, Note: "handle one result in the core",
+			Run: func(x float64) float64 { return measureHealthResultCPU(at(), int(x)) }},
+		{Name: "processor-health-http", Unit: "µs", SizeName: "health checks", Sizes: []float64{500, 1000, 2000, 4000}, Run: measureHealthRequestCPU,
 			Note: "one GET over an open connection with net/http, client and server in this process"},
-		{Name: "processor-change", Unit: "µs", Over: "configuration changes", Sizes: []float64{250, 500, 1000, 2000},
+		{Name: "processor-change", Unit: "µs", SizeName: "configuration changes", Sizes: []float64{250, 500, 1000, 2000},
 			Note: "parse and apply one service of 4 targets among 6,800",
-			Run:  func(x float64) float64 { return changeProcessor(at(), int(x)) }},
-		{Name: "processor-profile", Unit: "µs", Over: "services that use the profile", Sizes: []float64{850, 1700, 3400, 6800},
-			Run: profileProcessor, Note: "one change of a profile used by all services; blocks the core once"},
-		{Name: "processor-tick", Unit: "µs", Over: "ticks", Sizes: []float64{1000, 2000, 4000, 8000},
+			Run:  func(x float64) float64 { return measureConfigChangeCPU(at(), int(x)) }},
+		{Name: "processor-profile", Unit: "µs", SizeName: "services that use the profile", Sizes: []float64{850, 1700, 3400, 6800},
+			Run: measureProfileChangeCPU, Note: "one change of a profile used by all services; blocks the core once"},
+		{Name: "processor-tick", Unit: "µs", SizeName: "ticks", Sizes: []float64{1000, 2000, 4000, 8000},
 			Note: "at the target size, heartbeats sent and received included",
-			Run:  func(x float64) float64 { return tickProcessor(at(), int(x)) }},
-		{Name: "processor-tick-flows", Unit: "µs", Over: "open flows", Sizes: []float64{3500, 7000, 14_000, 28_000},
+			Run:  func(x float64) float64 { return measureTickCPU(at(), int(x)) }},
+		{Name: "processor-tick-flows", Unit: "µs", SizeName: "open flows", Sizes: []float64{3500, 7000, 14_000, 28_000},
 			Run: func(x float64) float64 {
-				n := newNode(size{1, 1, 15, 1})
+				n := newNode(clusterSize{1, 1, 15, 1})
 				n.openFeeds(int(x))
-				return tickProcessor(n, 500) / 500
+				return measureTickCPU(n, 500) / 500
 			}, Note: "one tick"},
 	}
 }
 
-func datagramProcessor(x float64) float64 {
+func measureDatagramCPU(x float64) float64 {
 	loop := net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}
 	a, errA := net.ListenUDP("udp4", &loop)
 	b, errB := net.ListenUDP("udp4", &loop)
@@ -66,9 +66,9 @@
 	defer a.Close()
 	defer b.Close()
 	to := b.LocalAddr().(*net.UDPAddr).AddrPort()
-	raw, buffer, out := datagram(false).Raw, make([]byte, 2048), make([]byte, 0, 2048)
+	raw, buffer, out := newRequest(false).Raw, make([]byte, 2048), make([]byte, 0, 2048)
 	var m message.Message
-	return processor(func() {
+	return leastCPUTime(func() {
 		for range int(x) {
 			if _, err := a.WriteToUDPAddrPort(raw, to); err != nil {
 				panic(err)
@@ -87,10 +87,10 @@
 	})
 }
 
-func exchangeProcessor(n *node, decisions int) float64 {
-	m := datagram(false)
+func measureExchangeCPU(n *node, decisions int) float64 {
+	m := newRequest(false)
 	caller := callerAddress(1)
-	return processor(func() {
+	return leastCPUTime(func() {
 		for done := 0; done < decisions; {
 			m.ID++
 			done += n.exchange(m, caller)
@@ -98,16 +98,16 @@
 	})
 }
 
-func heartbeatProcessor(n *node, count int) float64 {
+func measureHeartbeatCPU(n *node, count int) float64 {
 	n.tick()
 	var h *peerwire.Message
 	for h == nil { // a heartbeat of the node, as one of a peer that agrees with it
-		n.now = n.now.Add(tickEvery)
-		n.out.Reset()
-		n.core.Tick(n.now, &n.out)
-		n.ticked = n.now
-		for i := range n.out.List {
-			if e := &n.out.List[i]; e.Kind == core.ToPeer && e.PeerMessage.Heartbeat != nil {
+		n.now = n.now.Add(tickInterval)
+		n.effects.Reset()
+		n.core.Tick(n.now, &n.effects)
+		n.lastTick = n.now
+		for i := range n.effects.List {
+			if e := &n.effects.List[i]; e.Kind == core.ToPeer && e.PeerMessage.Heartbeat != nil {
 				copied := *e.PeerMessage.Heartbeat
 				copied.Updates = nil
 				h = &peerwire.Message{From: e.Instance, Heartbeat: &copied}
@@ -115,38 +115,38 @@
 		}
 	}
 	var raw []byte
-	return processor(func() {
+	return leastCPUTime(func() {
 		for range count {
-			n.step()
+			n.advanceClock()
 			h.Heartbeat.Clock = n.now
 			raw, _ = peerwire.Encode(raw[:0], h)
 			var got peerwire.Message
 			if err := peerwire.Decode(raw, &got); err != nil {
 				panic(err)
 			}
-			n.peer(&got)
+			n.handlePeer(&got)
 		}
 	})
 }
 
-func healthProcessor(n *node, count int) float64 {
-	e := &core.HealthEvent{Service: n.service, Target: "backend-0", Healthy: true, Load: 0.5, Duration: time.Millisecond}
-	return processor(func() {
+func measureHealthResultCPU(n *node, count int) float64 {
+	e := &core.HealthEvent{Service: n.ownedService, Target: "backend-0", Healthy: true, Load: 0.5, Duration: time.Millisecond}
+	return leastCPUTime(func() {
 		for range count {
-			n.step()
-			n.out.Reset()
-			n.core.HandleHealth(n.now, e, &n.out)
+			n.advanceClock()
+			n.effects.Reset()
+			n.core.HandleHealth(n.now, e, &n.effects)
 		}
 	})
 }
 
-func healthHTTP(x float64) float64 {
+func measureHealthRequestCPU(x float64) float64 {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, `{"status":"ok","load":0.5}`)
 	}))
 	defer server.Close()
 	client := server.Client()
-	return processor(func() {
+	return leastCPUTime(func() {
 		for range int(x) {
 			r, err := client.Get(server.URL)
 			if err != nil {
@@ -162,30 +162,30 @@
 	})
 }
 
-func changeProcessor(n *node, count int) float64 {
-	return processor(func() {
+func measureConfigChangeCPU(n *node, count int) float64 {
+	return leastCPUTime(func() {
 		for range count {
-			n.step()
+			n.advanceClock()
 			n.revision++
-			n.config([]core.Publication{{Key: "service/s0003", Revision: n.revision, Value: serviceDocument(3, 4, "dc3", int(n.revision))}})
+			n.applyConfig([]core.Publication{{Key: "service/s0003", Revision: n.revision, Value: serviceDocument(3, 4, "dc3", int(n.revision))}})
 		}
 	})
 }
 
-func profileProcessor(x float64) float64 {
-	n := newNode(size{members: 500, services: int(x), targets: 4, dataCentres: 5})
+func measureProfileChangeCPU(x float64) float64 {
+	n := newNode(clusterSize{members: 500, services: int(x), targets: 4, dataCentres: 5})
 	defer runtime.KeepAlive(n)
-	return processor(func() {
-		n.step()
+	return leastCPUTime(func() {
+		n.advanceClock()
 		n.revision++
-		n.config([]core.Publication{{Key: "profile/standard", Revision: n.revision, Value: profile(int(n.revision))}})
+		n.applyConfig([]core.Publication{{Key: "profile/standard", Revision: n.revision, Value: profileDocument(int(n.revision))}})
 	})
 }
 
-func tickProcessor(n *node, count int) float64 {
-	return processor(func() {
+func measureTickCPU(n *node, count int) float64 {
+	return leastCPUTime(func() {
 		for range count {
-			n.now = n.now.Add(tickEvery)
+			n.now = n.now.Add(tickInterval)
 			n.tick()
 		}
 	})
--- a/internal/capacity/usage.go
+++ b/internal/capacity/usage.go
@@ -8,11 +8,11 @@
 
 // repeats of a processor time; the least counts, since waits for caches shared
 // with other processes only add to it.
-const repeats = 5
+const cpuTimeRuns = 5
 
 // processorTime returns the user and system time of this process. Unlike the
 // elapsed time it does not include waits for a core.
-func processorTime() time.Duration {
+func processCPUTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		panic(err) // the argument is a constant that Linux knows
@@ -21,28 +21,28 @@
 }
 
 // processor returns the least processor time, in microseconds, of several runs.
-func processor(run func()) float64 {
+func leastCPUTime(run func()) float64 {
 	least := time.Duration(1<<63 - 1)
-	for range repeats {
+	for range cpuTimeRuns {
 		runtime.GC() // so that no run pays for the garbage of the one before
-		start := processorTime()
+		start := processCPUTime()
 		run()
-		least = min(least, processorTime()-start)
+		least = min(least, processCPUTime()-start)
 	}
 	return float64(least.Nanoseconds()) / 1e3
 }
 
 // retained returns the heap and stack bytes that build leaves in use. The
 // result of build keeps them reachable.
-func retained(build func() any) float64 {
-	before := inUse()
+func retainedBytes(build func() any) float64 {
+	before := bytesInUse()
 	kept := build()
-	used := inUse() - before
+	used := bytesInUse() - before
 	runtime.KeepAlive(kept)
 	return float64(used)
 }
 
-func inUse() int64 {
+func bytesInUse() int64 {
 	runtime.GC()
 	runtime.GC() // the first one may leave finalizers and pools behind
 	var m runtime.MemStats
@@ -51,8 +51,8 @@
 }
 
 // processorOnce returns the processor time of one run in microseconds.
-func processorOnce(run func()) float64 {
-	start := processorTime()
+func cpuTimeOnce(run func()) float64 {
+	start := processCPUTime()
 	run()
-	return float64((processorTime() - start).Nanoseconds()) / 1e3
+	return float64((processCPUTime() - start).Nanoseconds()) / 1e3
 }
--- a/internal/capacity/write.go
+++ b/internal/capacity/write.go
@@ -18,11 +18,11 @@
 	for i := range results {
 		r := &results[i]
 		for _, p := range r.Points {
-			row := []string{r.Name, r.Unit, r.Over}
+			row := []string{r.Name, r.Unit, r.SizeName}
 			for _, v := range []float64{p.X, p.Y, r.Intercept, r.Slope, r.StdErr, r.R2} {
 				row = append(row, strconv.FormatFloat(v, 'g', 6, 64))
 			}
-			rows = append(rows, append(row, r.shape()))
+			rows = append(rows, append(row, r.shapeText()))
 		}
 	}
 	return c.WriteAll(rows)
@@ -42,7 +42,7 @@
 			return nil, eris.Errorf("read slopes: %s: size %q, value %q, must be numbers", row[0], row[3], row[4])
 		}
 		if n := len(results); n == 0 || results[n-1].Name != row[0] {
-			results = append(results, Result{Measure: &Measure{Name: row[0], Unit: row[1], Over: row[2]}})
+			results = append(results, Result{Measure: &Measure{Name: row[0], Unit: row[1], SizeName: row[2]}})
 		}
 		r := &results[len(results)-1]
 		r.Points = append(r.Points, Point{x, y})
@@ -55,7 +55,7 @@
 	return results, nil
 }
 
-func (r *Result) shape() string {
+func (r *Result) shapeText() string {
 	switch {
 	case !r.Measured:
 		return "not measured"
@@ -78,17 +78,17 @@
 		r := &results[i]
 		var sizes, values []string
 		for _, p := range r.Points {
-			sizes, values = append(sizes, short(p.X)), append(values, short(p.Y))
+			sizes, values = append(sizes, formatShort(p.X)), append(values, formatShort(p.Y))
 		}
-		fmt.Fprintf(&b, "| `%s` | %s, over %s: %s | %s | %s | %s %s | %s | %s | %.4f | %s | %.1f |\n", r.Name, r.Unit, r.Over, r.Note,
-			strings.Join(sizes, ", "), strings.Join(values, ", "), short(r.Slope), r.Unit, short(r.StdErr), short(r.Intercept), r.R2, r.shape(), r.Took.Seconds())
+		fmt.Fprintf(&b, "| `%s` | %s, over %s: %s | %s | %s | %s %s | %s | %s | %.4f | %s | %.1f |\n", r.Name, r.Unit, r.SizeName, r.Note,
+			strings.Join(sizes, ", "), strings.Join(values, ", "), formatShort(r.Slope), r.Unit, formatShort(r.StdErr), formatShort(r.Intercept), r.R2, r.shapeText(), r.Elapsed.Seconds())
 	}
 	_, err := io.WriteString(w, b.String())
 	return err
 }
 
 // short prints three digits, without an exponent for usual sizes.
-func short(v float64) string {
+func formatShort(v float64) string {
 	switch a := math.Abs(v); {
 	case math.IsNaN(v):
 		return "–"
--- a/internal/experiment/baseline.go
+++ b/internal/experiment/baseline.go
@@ -9,102 +9,102 @@
 )
 
 // pick chooses one of the backend servers that a baseline believes healthy.
-type pick func(n *baseline, usable []*backend) *backend
+type backendPicker func(n *baseline, usable []*backend) *backend
 
 // baseline is an instance that sends each request at once to a backend server
 // that any instance may use. It queues nothing: the backend servers do, and
 // shed load when their queues are full.
 type baseline struct {
-	c           *cluster
-	self        *instance
-	pick        pick
-	next        int
-	outstanding []int
-	failedCheck []int // consecutive failed checks
-	down        []bool
-	checked     int // ticks since the last health check
+	cluster         *cluster
+	self            *instance
+	pick            backendPicker
+	nextBackend     int
+	outstanding     []int
+	failedChecks    []int // consecutive failed checks
+	markedDown      []bool
+	ticksSinceCheck int // ticks since the last health check
 }
 
 const (
 	// baselineRetryAfter is the fixed time to come back of a refusal.
 	baselineRetryAfter = time.Second
-	checkTicks         = int(time.Second / tickInterval)
+	ticksPerCheck      = int(time.Second / tickInterval)
 )
 
-func newBaseline(p pick) maker {
+func newBaseline(p backendPicker) nodeFactory {
 	return func(c *cluster, self *instance) node {
-		return &baseline{c: c, self: self, pick: p, next: c.rng.IntN(len(c.backends)), checked: c.rng.IntN(checkTicks),
-			outstanding: make([]int, len(c.backends)), failedCheck: make([]int, len(c.backends)), down: make([]bool, len(c.backends))}
+		return &baseline{cluster: c, self: self, pick: p, nextBackend: c.rng.IntN(len(c.backends)), ticksSinceCheck: c.rng.IntN(ticksPerCheck),
+			outstanding: make([]int, len(c.backends)), failedChecks: make([]int, len(c.backends)), markedDown: make([]bool, len(c.backends))}
 	}
 }
 
-func (n *baseline) arrive(r *request) { n.try(r, nil) }
+func (n *baseline) handleRequest(r *request) { n.send(r, nil) }
 
 // try sends r to a backend server other than avoid.
-func (n *baseline) try(r *request, avoid *backend) {
+func (n *baseline) send(r *request, avoid *backend) {
 	var usable []*backend
-	for _, b := range n.c.backends {
-		if !n.down[b.index] && b != avoid {
+	for _, b := range n.cluster.backends {
+		if !n.markedDown[b.index] && b != avoid {
 			usable = append(usable, b)
 		}
 	}
 	if len(usable) == 0 {
-		usable = n.c.backends
+		usable = n.cluster.backends
 	}
 	b := n.pick(n, usable)
 	n.outstanding[b.index]++
-	n.c.dispatch(n.self, b, r, n.c.expiry(r), func(o spread.Outcome) {
+	n.cluster.dispatch(n.self, b, r, n.cluster.expiry(r), func(o spread.Outcome) {
 		n.outstanding[b.index]--
 		switch {
 		case o == spread.Success:
-			n.c.respond(r, served, 0)
+			n.cluster.deliverResponse(r, served, 0)
 		case o == spread.Shed && avoid == nil:
-			n.try(r, b)
+			n.send(r, b)
 		case o == spread.Shed:
-			n.c.respond(r, refused, baselineRetryAfter)
+			n.cluster.deliverResponse(r, refused, baselineRetryAfter)
 		default:
-			n.c.respond(r, failed, 0)
+			n.cluster.deliverResponse(r, failed, 0)
 		}
 	})
 }
 
-func (n *baseline) peer(any) {}
+func (n *baseline) handlePeer(any) {}
 
-func (n *baseline) health(b *backend, healthy bool) {
+func (n *baseline) handleHealth(b *backend, healthy bool) {
 	if healthy {
-		n.failedCheck[b.index] = 0
-		n.down[b.index] = false
-	} else if n.failedCheck[b.index]++; n.failedCheck[b.index] >= 2 {
-		n.down[b.index] = true
+		n.failedChecks[b.index] = 0
+		n.markedDown[b.index] = false
+	} else if n.failedChecks[b.index]++; n.failedChecks[b.index] >= 2 {
+		n.markedDown[b.index] = true
 	}
 }
 
-func (n *baseline) instances(ids.Time, []ids.Instance) {}
-func (n *baseline) profile(*config.Resolved)           {}
+func (n *baseline) setInstances(ids.Time, []ids.Instance) {}
+func (n *baseline) setProfile(*config.Resolved)           {}
 
 func (n *baseline) tick() {
-	if n.checked++; n.checked < checkTicks {
+	if n.ticksSinceCheck++; n.ticksSinceCheck < ticksPerCheck {
 		return
 	}
-	n.checked = 0
-	for _, b := range n.c.backends {
-		n.c.check(n.self, b)
+	n.ticksSinceCheck = 0
+	for _, b := range n.cluster.backends {
+		n.cluster.checkHealth(n.self, b)
 	}
 }
 
 func pickRandom(n *baseline, usable []*backend) *backend {
-	return usable[n.c.rng.IntN(len(usable))]
+	return usable[n.cluster.rng.IntN(len(usable))]
 }
 
 func pickRoundRobin(n *baseline, usable []*backend) *backend {
-	n.next++
-	return usable[n.next%len(usable)]
+	n.nextBackend++
+	return usable[n.nextBackend%len(usable)]
 }
 
 // pickLeastOutstanding chooses the backend server with the fewest requests of
 // this instance, starting at a random one.
 func pickLeastOutstanding(n *baseline, usable []*backend) *backend {
-	start := n.c.rng.IntN(len(usable))
+	start := n.cluster.rng.IntN(len(usable))
 	best := usable[start]
 	for i := range usable {
 		if b := usable[(start+i)%len(usable)]; n.outstanding[b.index] < n.outstanding[best.index] {
@@ -115,19 +115,19 @@
 }
 
 // loadAge is the age of the load that the power of two choices compares.
-const loadAge = 50 * time.Millisecond
+const loadReportAge = 50 * time.Millisecond
 
 // loads keeps the recent load of all backend servers, as it would be known
 // from piggybacked reports.
-type loads struct {
-	history [][]int // oldest first
+type loadHistory struct {
+	samples [][]int // oldest first
 }
 
 // pickTwoChoices compares the reported load of two random backend servers.
-func pickTwoChoices(l *loads) pick {
+func pickTwoChoices(l *loadHistory) backendPicker {
 	return func(n *baseline, usable []*backend) *backend {
-		a, b := usable[n.c.rng.IntN(len(usable))], usable[n.c.rng.IntN(len(usable))]
-		old := l.at(n.c)
+		a, b := usable[n.cluster.rng.IntN(len(usable))], usable[n.cluster.rng.IntN(len(usable))]
+		old := l.delayed(n.cluster)
 		if old[b.index]+n.outstanding[b.index] < old[a.index]+n.outstanding[a.index] {
 			return b
 		}
@@ -135,21 +135,21 @@
 	}
 }
 
-func (l *loads) at(c *cluster) []int {
-	if len(l.history) == 0 {
+func (l *loadHistory) delayed(c *cluster) []int {
+	if len(l.samples) == 0 {
 		var record func()
 		record = func() {
 			now := make([]int, len(c.backends))
 			for i, b := range c.backends {
 				now[i] = b.running + len(b.queue)
 			}
-			l.history = append(l.history, now)
-			if len(l.history) > int(loadAge/tickInterval)+1 {
-				l.history = l.history[1:]
+			l.samples = append(l.samples, now)
+			if len(l.samples) > int(loadReportAge/tickInterval)+1 {
+				l.samples = l.samples[1:]
 			}
 			c.after(tickInterval, record)
 		}
 		record()
 	}
-	return l.history[0]
+	return l.samples[0]
 }
--- a/internal/experiment/cluster.go
+++ b/internal/experiment/cluster.go
@@ -13,46 +13,46 @@
 // Sizes and delays of the model: one data centre of the Board's counter
 // service, design page section 1.4.
 const (
-	dataCentre     = ids.DataCentre("dc1")
-	serviceName    = ids.Service("counter")
-	instanceCount  = 5
-	targetCount    = 15
-	slotsPerTarget = 2
-	slotCount      = targetCount * slotsPerTarget
-	callerCount    = 2000
-
-	callerDelay  = 3 * time.Millisecond    // one way, caller to instance
-	peerDelay    = 250 * time.Microsecond  // one way, instance to instance
-	backendDelay = 250 * time.Microsecond  // one way, instance to backend server
-	tickInterval = 10 * time.Millisecond   // of the instances
-	fabricLag    = 500 * time.Millisecond  // until the fabric avoids a dead instance
-	suspectLag   = 1000 * time.Millisecond // until peers have noticed a dead instance
-	suspectSpan  = 200 * time.Millisecond  // spread of that time over the peers
-	deadline     = 2 * time.Second         // of a request, from arrival
-	longDeadline = 20 * time.Second        // of a service with long requests
+	dataCentre      = ids.DataCentre("dc1")
+	serviceName     = ids.Service("counter")
+	instanceCount   = 5
+	backendCount    = 15
+	slotsPerBackend = 2
+	slotCount       = backendCount * slotsPerBackend
+	callerCount     = 2000
+
+	callerDelay   = 3 * time.Millisecond    // one way, caller to instance
+	peerDelay     = 250 * time.Microsecond  // one way, instance to instance
+	backendDelay  = 250 * time.Microsecond  // one way, instance to backend server
+	tickInterval  = 10 * time.Millisecond   // of the instances
+	fabricDelay   = 500 * time.Millisecond  // until the fabric avoids a dead instance
+	suspectDelay  = 1000 * time.Millisecond // until peers have noticed a dead instance
+	suspectJitter = 200 * time.Millisecond  // spread of that time over the peers
+	deadline      = 2 * time.Second         // of a request, from arrival
+	longDeadline  = 20 * time.Second        // of a service with long requests
 )
 
 // answer is what a caller receives.
-type answer uint8
+type callerResult uint8
 
 const (
-	served  answer = iota
-	refused        // 5.03 with a time to come back
-	failed         // 5.04 or 5.00
+	served  callerResult = iota
+	refused              // 5.03 with a time to come back
+	failed               // 5.04 or 5.00
 )
 
 // node is the policy of one instance.
 type node interface {
 	// arrive takes a request that came from its caller.
-	arrive(r *request)
+	handleRequest(r *request)
 	// peer takes a message that another instance sent with cluster.send.
-	peer(m any)
+	handlePeer(m any)
 	// health takes the result of a health check.
-	health(t *backend, healthy bool)
+	handleHealth(t *backend, healthy bool)
 	// instances takes the list of serving instances as seen now.
-	instances(now ids.Time, serving []ids.Instance)
+	setInstances(now ids.Time, serving []ids.Instance)
 	// profile takes a new profile into use.
-	profile(r *config.Resolved)
+	setProfile(r *config.Resolved)
 	tick()
 }
 
@@ -67,35 +67,35 @@
 // cluster is one run of the model.
 type cluster struct {
 	*sim
-	instances []*instance
-	backends  []*backend
-	sprayed   []*instance // instances that the fabric uses
-	resolved  *config.Resolved
-	stats     *stats
-	maxTries  int // attempts of a caller, the first included
+	instances   []*instance
+	backends    []*backend
+	routable    []*instance // instances that the fabric uses
+	resolved    *config.Resolved
+	stats       *stats
+	maxAttempts int // attempts of a caller, the first included
 
 	// Used with the core only.
-	platform  *platform
-	cut       map[[2]*instance]bool // links that are down, by direction
-	byToken   map[message.Token]*request
-	byMessage map[uint16]*request
-	serial    uint32
-	messageID uint16
+	platform      *platform
+	cutLinks      map[[2]*instance]bool // links that are down, by direction
+	byToken       map[message.Token]*request
+	byMessage     map[uint16]*request
+	lastSerial    uint32
+	lastMessageID uint16
 }
 
 // maker builds the policy of an instance.
-type maker func(c *cluster, self *instance) node
+type nodeFactory func(c *cluster, self *instance) node
 
 // newCluster returns a running cluster of the counter service.
-func newCluster(seed uint64, r *config.Resolved, build maker) *cluster {
-	return newClusterOf(seed, r, build, targetCount)
+func newCluster(seed uint64, r *config.Resolved, build nodeFactory) *cluster {
+	return newClusterWithBackends(seed, r, build, backendCount)
 }
 
 // newClusterOf returns a running cluster with a number of backend servers.
-func newClusterOf(seed uint64, r *config.Resolved, build maker, targets int) *cluster {
-	c := &cluster{sim: newSim(seed), resolved: r, maxTries: 4, cut: make(map[[2]*instance]bool),
+func newClusterWithBackends(seed uint64, r *config.Resolved, build nodeFactory, targets int) *cluster {
+	c := &cluster{sim: newSim(seed), resolved: r, maxAttempts: 4, cutLinks: make(map[[2]*instance]bool),
 		byToken: make(map[message.Token]*request), byMessage: make(map[uint16]*request)}
-	c.platform = &platform{c: c}
+	c.platform = &platform{cluster: c}
 	c.stats = newStats(c)
 	for i := range targets {
 		// The names differ from seed to seed, and with them the ownership.
@@ -106,13 +106,13 @@
 	for i := range instanceCount {
 		c.instances = append(c.instances, &instance{index: i, id: ids.Instance(fmt.Sprintf("instance-%d-%d", seed, i))})
 	}
-	c.sprayed = append(c.sprayed, c.instances...)
+	c.routable = append(c.routable, c.instances...)
 	for _, in := range c.instances {
 		in.node = build(c, in)
 	}
 	for _, in := range c.instances {
-		in.node.profile(r)
-		in.node.instances(c.now, c.serving(nil))
+		in.node.setProfile(r)
+		in.node.setInstances(c.now, c.serving(nil))
 	}
 	for i, in := range c.instances {
 		// Instances tick out of step with each other.
@@ -141,16 +141,16 @@
 }
 
 // send delivers m to another instance after the relay delay.
-func (c *cluster) send(to *instance, m any) { c.sendCounted(to, m, true) }
+func (c *cluster) sendData(to *instance, m any) { c.sendPeer(to, m, true) }
 
 // sendCounted delivers m; only data messages count as relayed traffic.
-func (c *cluster) sendCounted(to *instance, m any, data bool) {
+func (c *cluster) sendPeer(to *instance, m any, data bool) {
 	if data {
 		c.stats.relays++
 	}
 	c.after(peerDelay, func() {
 		if !to.dead {
-			to.node.peer(m)
+			to.node.handlePeer(m)
 		}
 	})
 }
@@ -158,7 +158,7 @@
 // dispatch sends r to b. done is called when the outcome is back, or with
 // Timeout once the deadline has passed. The result cancels the request.
 func (c *cluster) dispatch(from *instance, b *backend, r *request, expires ids.Time, done func(spread.Outcome)) (cancel func()) {
-	r.dispatched++
+	r.dispatches++
 	ended := false
 	end := func(o spread.Outcome) {
 		if !ended && !from.dead {
@@ -166,22 +166,22 @@
 			done(o)
 		}
 	}
-	j := &job{run: r.run, expires: expires}
-	j.done = func(o spread.Outcome) { c.after(backendDelay, func() { end(o) }) }
+	j := &job{runTime: r.runTime, expires: expires}
+	j.onOutcome = func(o spread.Outcome) { c.after(backendDelay, func() { end(o) }) }
 	c.after(backendDelay, func() { b.accept(j) })
 	c.at(expires, func() {
-		j.gone = true
+		j.ended = true
 		end(spread.Timeout)
 	})
-	return func() { ended, j.gone = true, true }
+	return func() { ended, j.ended = true, true }
 }
 
 // check performs a health check for an instance.
-func (c *cluster) check(from *instance, b *backend) {
+func (c *cluster) checkHealth(from *instance, b *backend) {
 	c.stats.checks++
 	c.after(2*backendDelay, func() {
 		if !from.dead {
-			from.node.health(b, b.healthy())
+			from.node.handleHealth(b, b.reportedHealth())
 		}
 	})
 }
@@ -190,26 +190,26 @@
 // the fabric avoids it, and its peers learn of its end later still.
 func (c *cluster) kill(in *instance) {
 	in.dead = true
-	c.after(fabricLag, func() {
-		for i, s := range c.sprayed {
+	c.after(fabricDelay, func() {
+		for i, s := range c.routable {
 			if s == in {
-				c.sprayed = append(c.sprayed[:i:i], c.sprayed[i+1:]...)
+				c.routable = append(c.routable[:i:i], c.routable[i+1:]...)
 				return
 			}
 		}
 	})
 	for _, other := range c.instances {
 		if other != in {
-			c.after(suspectLag+c.between(0, suspectSpan), func() { other.node.instances(c.now, c.serving(nil)) })
+			c.after(suspectDelay+c.between(0, suspectJitter), func() { other.node.setInstances(c.now, c.serving(nil)) })
 		}
 	}
 }
 
 // spray returns an instance at random, as the fabric does.
-func (c *cluster) spray() *instance { return c.sprayed[c.rng.IntN(len(c.sprayed))] }
+func (c *cluster) randomInstance() *instance { return c.routable[c.rng.IntN(len(c.routable))] }
 
 // backendOf returns the backend server with a target name.
-func (c *cluster) backendOf(name ids.Target) *backend {
+func (c *cluster) backendByTarget(name ids.Target) *backend {
 	for _, b := range c.backends {
 		if b.target.Name == name {
 			return b
--- a/internal/experiment/corenode.go
+++ b/internal/experiment/corenode.go
@@ -23,20 +23,20 @@
 // coreNode drives the real decision logic: datagrams are encoded and decoded,
 // membership is gossiped, and the configuration comes from the platform.
 type coreNode struct {
-	c    *cluster
-	self *instance
-	core *core.Core
-	jobs map[upstreamKey]*job // requests at backend servers
-	free []*core.Effects
+	cluster     *cluster
+	self        *instance
+	core        *core.Core
+	jobs        map[exchangeKey]*job // requests at backend servers
+	freeEffects []*core.Effects
 }
 
 // upstreamKey is the message id of a request to a backend server.
-type upstreamKey struct {
+type exchangeKey struct {
 	target ids.Target
 	id     uint16
 }
 
-func newCore(c *cluster, self *instance) node {
+func newCoreNode(c *cluster, self *instance) node {
 	keys, err := admission.NewKeyring(1, map[uint8][]byte{1: []byte("0123456789abcdef")})
 	if err != nil {
 		panic(err) // the key is a constant
@@ -47,61 +47,61 @@
 			s.Seeds = append(s.Seeds, member.Seed{ID: other.id, DataCentre: dataCentre, PeerAddr: other.address()})
 		}
 	}
-	return &coreNode{c: c, self: self, core: core.New(s, keys, c.rng.Uint64()), jobs: make(map[upstreamKey]*job)}
+	return &coreNode{cluster: c, self: self, core: core.New(s, keys, c.rng.Uint64()), jobs: make(map[exchangeKey]*job)}
 }
 
 func (in *instance) address() string { return fmt.Sprintf("127.0.0.1:%d", 9000+in.index) }
 
 // call calls the core and carries out the effects.
-func (n *coreNode) call(f func(now ids.Time, out *core.Effects)) {
+func (n *coreNode) invoke(f func(now ids.Time, out *core.Effects)) {
 	if n.self.dead {
 		return
 	}
 	var out *core.Effects
-	if k := len(n.free); k > 0 {
-		out, n.free = n.free[k-1], n.free[:k-1]
+	if k := len(n.freeEffects); k > 0 {
+		out, n.freeEffects = n.freeEffects[k-1], n.freeEffects[:k-1]
 	} else {
 		out = new(core.Effects)
 	}
-	f(n.c.now, out)
+	f(n.cluster.now, out)
 	for i := range out.List {
-		n.effect(&out.List[i])
+		n.applyEffect(&out.List[i])
 	}
 	out.Reset()
-	n.free = append(n.free, out)
+	n.freeEffects = append(n.freeEffects, out)
 }
 
-func (n *coreNode) effect(e *core.Effect) {
+func (n *coreNode) applyEffect(e *core.Effect) {
 	switch e.Kind {
 	case core.ToCaller:
-		n.toCaller(decode(&e.Datagram))
+		n.sendToCaller(roundTrip(&e.Datagram))
 	case core.ToBackend:
-		n.toBackend(e)
+		n.sendToBackend(e)
 	case core.ToPeer:
-		n.toPeer(e.Instance, e.PeerMessage)
+		n.sendToPeer(e.Instance, e.PeerMessage)
 	case core.CheckHealth:
-		if b := n.c.backendOf(e.Target); b != nil {
-			n.c.check(n.self, b)
+		if b := n.cluster.backendByTarget(e.Target); b != nil {
+			n.cluster.checkHealth(n.self, b)
 		}
 	case core.Log:
 		if e.Event == "config-refused" {
 			panic("model: " + e.Detail)
 		}
 	case core.WatchConfig:
-		n.c.platform.read(n, e.Revision, e.Watch)
+		n.cluster.platform.readConfig(n, e.Revision, e.Watch)
 	}
 }
 
 // decode encodes a message and decodes it again, as on the wire.
-func decode(o *message.Outgoing) *message.Message {
+func roundTrip(o *message.Outgoing) *message.Message {
 	raw, err := message.Encode(nil, o)
 	if err != nil {
 		panic(err) // the core has built a message that cannot be sent
 	}
-	return parse(raw)
+	return mustDecode(raw)
 }
 
-func parse(raw []byte) *message.Message {
+func mustDecode(raw []byte) *message.Message {
 	m := new(message.Message)
 	if err := message.Decode(raw, m); err != nil {
 		panic(err)
@@ -109,81 +109,81 @@
 	return m
 }
 
-func (n *coreNode) arrive(r *request) {
-	m := r.datagram(n.c)
-	n.call(func(now ids.Time, out *core.Effects) {
-		n.core.HandleCaller(now, &core.CallerEvent{Service: serviceName, Caller: callerAddress(r.caller), Message: m}, out)
+func (n *coreNode) handleRequest(r *request) {
+	m := r.newDatagram(n.cluster)
+	n.invoke(func(now ids.Time, out *core.Effects) {
+		n.core.HandleCaller(now, &core.CallerEvent{Service: serviceName, Caller: callerAddress(r.callerIndex), Message: m}, out)
 	})
 }
 
 // toCaller interprets a datagram for a caller.
-func (n *coreNode) toCaller(m *message.Message) {
+func (n *coreNode) sendToCaller(m *message.Message) {
 	if m.Code == message.Empty {
-		if r := n.c.byMessage[m.ID]; r != nil && m.Type == message.Acknowledgement {
-			n.c.after(callerDelay, func() { r.acked = true })
+		if r := n.cluster.byMessage[m.ID]; r != nil && m.Type == message.Acknowledgement {
+			n.cluster.after(callerDelay, func() { r.acked = true })
 		}
 		return
 	}
-	r := n.c.byToken[m.Token]
+	r := n.cluster.byToken[m.Token]
 	if r == nil {
 		return
 	}
 	if m.Type == message.Confirmable {
-		ack := decode(&message.Outgoing{Type: message.Acknowledgement, ID: m.ID})
-		n.c.after(2*callerDelay, func() {
-			if in := n.c.spray(); !in.dead {
-				in.node.(*coreNode).call(func(now ids.Time, out *core.Effects) {
-					in.node.(*coreNode).core.HandleCaller(now, &core.CallerEvent{Service: serviceName, Caller: callerAddress(r.caller), Message: ack}, out)
+		ack := roundTrip(&message.Outgoing{Type: message.Acknowledgement, ID: m.ID})
+		n.cluster.after(2*callerDelay, func() {
+			if in := n.cluster.randomInstance(); !in.dead {
+				in.node.(*coreNode).invoke(func(now ids.Time, out *core.Effects) {
+					in.node.(*coreNode).core.HandleCaller(now, &core.CallerEvent{Service: serviceName, Caller: callerAddress(r.callerIndex), Message: ack}, out)
 				})
 			}
 		})
 	}
 	switch {
 	case m.Code == message.Unauthorized:
-		n.c.challenge(r, append([]byte(nil), m.Echo...))
+		n.cluster.deliverChallenge(r, append([]byte(nil), m.Echo...))
 	case m.Code == message.ServiceUnavailable:
-		n.c.respond(r, refused, time.Duration(m.MaxAge)*time.Second)
+		n.cluster.deliverResponse(r, refused, time.Duration(m.MaxAge)*time.Second)
 	case m.Code>>5 == 2:
-		n.c.respond(r, served, 0)
+		n.cluster.deliverResponse(r, served, 0)
 	default:
-		n.c.respond(r, failed, 0)
+		n.cluster.deliverResponse(r, failed, 0)
 	}
 }
 
 // toBackend delivers a datagram to a backend server.
-func (n *coreNode) toBackend(e *core.Effect) {
-	b := n.c.backendOf(e.Target)
+func (n *coreNode) sendToBackend(e *core.Effect) {
+	b := n.cluster.backendByTarget(e.Target)
 	if b == nil || e.Datagram.Type == message.Acknowledgement {
 		return
 	}
-	m := decode(&e.Datagram)
-	key := upstreamKey{e.Target, m.ID}
+	m := roundTrip(&e.Datagram)
+	key := exchangeKey{e.Target, m.ID}
 	if m.Type == message.Reset {
 		if j := n.jobs[key]; j != nil {
-			n.c.after(backendDelay, func() { j.gone = true })
+			n.cluster.after(backendDelay, func() { j.ended = true })
 		}
 		return
 	}
 	if n.jobs[key] != nil {
 		return // a repeat of a request that the backend server has
 	}
-	r := n.c.byToken[parse(e.Datagram.Template).Token]
+	r := n.cluster.byToken[mustDecode(e.Datagram.Template).Token]
 	if r == nil {
 		return
 	}
-	r.dispatched++
-	j := &job{run: r.run, expires: n.c.now.Add(time.Duration(e.Datagram.DeadlineMS) * time.Millisecond)}
+	r.dispatches++
+	j := &job{runTime: r.runTime, expires: n.cluster.now.Add(time.Duration(e.Datagram.DeadlineMS) * time.Millisecond)}
 	n.jobs[key] = j
 	acked := false
 	reply := func(o *message.Outgoing) {
-		got := decode(o)
-		n.c.after(backendDelay, func() {
-			n.call(func(now ids.Time, out *core.Effects) {
+		got := roundTrip(o)
+		n.cluster.after(backendDelay, func() {
+			n.invoke(func(now ids.Time, out *core.Effects) {
 				n.core.HandleBackend(now, &core.BackendEvent{From: b.target.Address, Message: got}, out)
 			})
 		})
 	}
-	j.done = func(o spread.Outcome) {
+	j.onOutcome = func(o spread.Outcome) {
 		code := message.Content
 		if o == spread.Shed {
 			code = message.ServiceUnavailable
@@ -195,54 +195,54 @@
 		reply(answer)
 		acked = true
 	}
-	n.c.after(backendDelay, func() { b.accept(j) })
-	n.c.after(backendDelay+ackAfter, func() {
-		if !acked && !j.gone && !b.dead {
+	n.cluster.after(backendDelay, func() { b.accept(j) })
+	n.cluster.after(backendDelay+ackDelay, func() {
+		if !acked && !j.ended && !b.dead {
 			acked = true
 			reply(&message.Outgoing{Type: message.Acknowledgement, ID: m.ID})
 		}
 	})
-	n.c.at(j.expires.Add(time.Second), func() { delete(n.jobs, key) })
+	n.cluster.at(j.expires.Add(time.Second), func() { delete(n.jobs, key) })
 }
 
-func (n *coreNode) toPeer(to ids.Instance, m *peerwire.Message) {
+func (n *coreNode) sendToPeer(to ids.Instance, m *peerwire.Message) {
 	raw, err := peerwire.Encode(nil, m)
 	if err != nil {
 		panic(err) // the core has built a message that cannot be sent
 	}
-	for _, in := range n.c.instances {
-		if in.id == to && !n.c.cut[[2]*instance{n.self, in}] {
-			n.c.sendCounted(in, raw, m.Lane() == peerwire.Data)
+	for _, in := range n.cluster.instances {
+		if in.id == to && !n.cluster.cutLinks[[2]*instance{n.self, in}] {
+			n.cluster.sendPeer(in, raw, m.Lane() == peerwire.Data)
 		}
 	}
 }
 
-func (n *coreNode) peer(m any) {
+func (n *coreNode) handlePeer(m any) {
 	got := new(peerwire.Message)
 	if err := peerwire.Decode(m.([]byte), got); err != nil {
 		panic(err)
 	}
 	e := &core.PeerEvent{Message: got}
 	if got.Relay != nil {
-		e.RelayedDatagram = parse(got.Relay.Datagram)
+		e.RelayedDatagram = mustDecode(got.Relay.Datagram)
 	}
-	n.call(func(now ids.Time, out *core.Effects) { n.core.HandlePeer(now, e, out) })
+	n.invoke(func(now ids.Time, out *core.Effects) { n.core.HandlePeer(now, e, out) })
 }
 
-func (n *coreNode) health(b *backend, healthy bool) {
-	n.call(func(now ids.Time, out *core.Effects) {
+func (n *coreNode) handleHealth(b *backend, healthy bool) {
+	n.invoke(func(now ids.Time, out *core.Effects) {
 		n.core.HandleHealth(now, &core.HealthEvent{Service: serviceName, Target: b.target.Name, Healthy: healthy, Load: -1}, out)
 	})
 }
 
 // instances is left to the gossip of the cores.
-func (n *coreNode) instances(ids.Time, []ids.Instance) {}
+func (n *coreNode) setInstances(ids.Time, []ids.Instance) {}
 
 // profile publishes r on the platform unless another instance has done so.
-func (n *coreNode) profile(r *config.Resolved) { n.c.platform.publish(r) }
+func (n *coreNode) setProfile(r *config.Resolved) { n.cluster.platform.publish(r) }
 
 func (n *coreNode) tick() {
-	n.call(func(now ids.Time, out *core.Effects) { n.core.Tick(now, out) })
+	n.invoke(func(now ids.Time, out *core.Effects) { n.core.Tick(now, out) })
 }
 
 // callerAddress returns the endpoint of a caller.
@@ -252,36 +252,36 @@
 
 // datagram builds the datagram of the current transmission of r. The message
 // id changes with each attempt and with the admission token.
-func (r *request) datagram(c *cluster) *message.Message {
-	if r.id == 0 {
-		c.serial++
-		r.serial = c.serial
+func (r *request) newDatagram(c *cluster) *message.Message {
+	if r.messageID == 0 {
+		c.lastSerial++
+		r.serial = c.lastSerial
 		c.byToken[r.coapToken()] = r
 	}
-	if key := [2]int{r.tries, len(r.echo)}; r.id == 0 || key != r.sentAs {
-		r.sentAs = key
-		c.messageID++
-		r.id = max(c.messageID, 1)
-		c.byMessage[r.id] = r
+	if key := [2]int{r.attempts, len(r.echo)}; r.messageID == 0 || key != r.messageKey {
+		r.messageKey = key
+		c.lastMessageID++
+		r.messageID = max(c.lastMessageID, 1)
+		c.byMessage[r.messageID] = r
 	}
 	code := message.GET
-	if r.claim {
+	if r.nonIdempotent {
 		code = message.POST
 	}
 	t := r.coapToken()
-	raw := append([]byte{0x40 | t.Len, byte(code), byte(r.id >> 8), byte(r.id)}, t.Bytes[:t.Len]...)
+	raw := append([]byte{0x40 | t.Len, byte(code), byte(r.messageID >> 8), byte(r.messageID)}, t.Bytes[:t.Len]...)
 	delta := byte(11) // Uri-Path
-	if p := r.mix.partner; p != "" {
+	if p := r.traffic.partner; p != "" {
 		raw = append(append(raw, 3<<4|byte(len(p))), p...) // Uri-Host
 		delta = 8
 	}
 	path := strconv.FormatUint(r.path&0xffffffff, 36)
 	raw = append(append(raw, delta<<4|byte(len(path))), path...)
-	o := &message.Outgoing{Template: raw, Type: message.Confirmable, ID: r.id, Token: t, Echo: r.echo}
-	if r.claim {
+	o := &message.Outgoing{Template: raw, Type: message.Confirmable, ID: r.messageID, Token: t, Echo: r.echo}
+	if r.nonIdempotent {
 		o.Payload = t.Bytes[:t.Len]
 	}
-	return decode(o)
+	return roundTrip(o)
 }
 
 func (r *request) coapToken() message.Token {
--- a/internal/experiment/design.go
+++ b/internal/experiment/design.go
@@ -12,26 +12,26 @@
 )
 
 // relayed is a request that another instance has passed on, with its load.
-type relayed struct {
+type relayedRequest struct {
 	from *instance
 	r    *request
 	hops int
-	load load
+	load peerLoad
 }
 
 // slotFree tells that the sender has free slots and no queue.
-type slotFree struct {
+type slotReport struct {
 	from  *instance
-	count int
-	load  load
+	freed int
+	load  peerLoad
 }
 
 // load is the piggybacked state of an instance.
-type load struct {
-	free, backlog int
-	at            ids.Time // when it was received, or a relay was sent on belief
-	unanswered    int      // relays sent on belief without a report since
-	told          ids.Time // when the own load was last sent to this peer
+type peerLoad struct {
+	free, backlog    int
+	updated          ids.Time // when it was received, or a relay was sent on belief
+	unansweredRelays int      // relays sent on belief without a report since
+	lastSent         ids.Time // when the own load was last sent to this peer
 }
 
 // beliefAge is the age at which a report of a peer without free slots is no
@@ -42,45 +42,45 @@
 // A peer that has not reported since the last relay on belief may be dead, so
 // the age doubles with each such relay.
 const (
-	beliefAge     = 20 * time.Millisecond
-	maxUnanswered = 6
+	loadReportLifetime = 20 * time.Millisecond
+	maxDoublings       = 6
 )
 
 // queued is a request that waits for a slot.
-type queued struct {
-	r       *request
-	expires ids.Time
-	until   ids.Time // end of the longest wait
-	key     uint64
-	class   spread.Class
+type queuedRequest struct {
+	r          *request
+	expires    ids.Time
+	maxWaitEnd ids.Time // end of the longest wait
+	key        uint64
+	class      spread.Class
 }
 
 // design is the policy of the design page on the real spread, share and
 // admission packages: own slots, relay to a free slot, separate queues for
 // long requests, fair queueing over partners.
-type design struct {
-	c       *cluster
-	self    *instance
-	table   *spread.Table
-	queues  [2]share.Queue[*queued]
-	waiting [2]map[ids.Partner]int
-	limit   admission.Limiter
-	returns share.RetryPacer
-	weights map[ids.Partner]uint32
-	peers   map[*instance]*load
-	rng     *rand.Rand
+type designNode struct {
+	cluster    *cluster
+	self       *instance
+	table      *spread.Table
+	queues     [2]share.Queue[*queuedRequest]
+	waiting    [2]map[ids.Partner]int
+	limiter    admission.Limiter
+	retryPacer share.RetryPacer
+	weights    map[ids.Partner]uint32
+	peers      map[*instance]*peerLoad
+	rng        *rand.Rand
 }
 
 const (
 	maxHops = 2
 	// returnPart keeps the transmissions at three times the capacity below 1.1
 	// per request, and leaves room for the load after the peak.
-	returnPart = 0.25
+	retryLoadFraction = 0.25
 )
 
-func newDesign(c *cluster, self *instance) node {
+func newDesignNode(c *cluster, self *instance) node {
 	seed := c.rng.Uint64()
-	n := &design{c: c, self: self, table: spread.NewTable(self.id, dataCentre, seed), peers: map[*instance]*load{},
+	n := &designNode{cluster: c, self: self, table: spread.NewTable(self.id, dataCentre, seed), peers: map[*instance]*peerLoad{},
 		rng: rand.New(rand.NewPCG(seed, 1))}
 	for i := range n.waiting {
 		n.waiting[i] = map[ids.Partner]int{}
@@ -88,24 +88,24 @@
 	return n
 }
 
-func (n *design) pool() *spread.Pool { return n.table.Pool(serviceName) }
+func (n *designNode) pool() *spread.Pool { return n.table.Pool(serviceName) }
 
-func (n *design) instances(now ids.Time, serving []ids.Instance) {
+func (n *designNode) setInstances(now ids.Time, serving []ids.Instance) {
 	n.table.SetInstances(now, serving)
 	clear(n.peers)
-	for _, in := range n.c.instances {
+	for _, in := range n.cluster.instances {
 		for _, id := range serving {
 			if in.id == id && in != n.self {
-				n.peers[in] = &load{free: 1}
+				n.peers[in] = &peerLoad{free: 1}
 			}
 		}
 	}
 }
 
-func (n *design) profile(r *config.Resolved) {
+func (n *designNode) setProfile(r *config.Resolved) {
 	p := r.Profile.Protect
-	n.limit = admission.Limiter{MaxQueueTime: p.QueueTime, Deadline: p.Deadline, MaxLength: p.QueueLength}
-	n.returns.Min, n.returns.Max, n.returns.LoadFraction = p.RetryAfterMin, p.RetryAfterMax, returnPart
+	n.limiter = admission.Limiter{MaxQueueTime: p.QueueTime, Deadline: p.Deadline, MaxLength: p.QueueLength}
+	n.retryPacer.Min, n.retryPacer.Max, n.retryPacer.LoadFraction = p.RetryAfterMin, p.RetryAfterMax, retryLoadFraction
 	n.weights = map[ids.Partner]uint32{}
 	for _, partner := range r.Profile.Partners {
 		n.weights[partner.Name] = partner.Weight
@@ -113,21 +113,21 @@
 	for i := range n.queues {
 		n.queues[i].SetWeights(n.weights)
 	}
-	n.table.SetService(n.c.now, r)
+	n.table.SetService(n.cluster.now, r)
 }
 
-func (n *design) arrive(r *request) {
-	n.take(r, 0)
+func (n *designNode) handleRequest(r *request) {
+	n.schedule(r, 0)
 }
 
-func (n *design) take(r *request, hops int) {
+func (n *designNode) schedule(r *request, hops int) {
 	p := n.pool()
 	if p == nil {
 		n.refuse(r)
 		return
 	}
-	q := &queued{r: r, key: r.path, class: p.Classify(r.path), expires: n.c.expiry(r)}
-	q.until = n.c.now.Add(n.limit.MaxQueueTime)
+	q := &queuedRequest{r: r, key: r.path, class: p.Classify(r.path), expires: n.cluster.expiry(r)}
+	q.maxWaitEnd = n.cluster.now.Add(n.limiter.MaxQueueTime)
 	if n.queues[q.class].Len() == 0 && n.dispatch(q) {
 		return
 	}
@@ -137,9 +137,9 @@
 			return
 		}
 	}
-	partner := r.mix.partner
-	slots := float64(p.Capacity()) * n.part(q.class, partner)
-	if !n.limit.CanQueue(n.waiting[q.class][partner], p.RunTime(), slots) {
+	partner := r.traffic.partner
+	slots := float64(p.Capacity()) * n.partnerFraction(q.class, partner)
+	if !n.limiter.CanQueue(n.waiting[q.class][partner], p.RunTime(), slots) {
 		n.refuse(r)
 		return
 	}
@@ -149,7 +149,7 @@
 
 // part returns the part of the slots that a partner gets while the partners
 // with queued requests compete.
-func (n *design) part(c spread.Class, partner ids.Partner) float64 {
+func (n *designNode) partnerFraction(c spread.Class, partner ids.Partner) float64 {
 	own, total := uint32(1), uint32(0)
 	for name, w := range n.weights {
 		if name == partner {
@@ -161,21 +161,21 @@
 	return float64(own) / float64(own+total)
 }
 
-func (n *design) relay(to *instance, r *request, hops int) {
+func (n *designNode) relay(to *instance, r *request, hops int) {
 	n.peers[to].free--
-	n.peers[to].at, n.peers[to].told = n.c.now, n.c.now
-	r.holder = to
-	n.c.send(to, relayed{n.self, r, hops + 1, n.load()})
+	n.peers[to].updated, n.peers[to].lastSent = n.cluster.now, n.cluster.now
+	r.receiver = to
+	n.cluster.sendData(to, relayedRequest{n.self, r, hops + 1, n.ownLoad()})
 }
 
 // freePeer returns the peer believed to have the most free slots.
-func (n *design) freePeer() *instance {
+func (n *designNode) freePeer() *instance {
 	var best *instance
-	for _, in := range n.c.instances {
+	for _, in := range n.cluster.instances {
 		l := n.peers[in]
-		if l != nil && l.free <= 0 && n.c.now.Sub(l.at) > beliefAge<<min(l.unanswered, maxUnanswered) {
+		if l != nil && l.free <= 0 && n.cluster.now.Sub(l.updated) > loadReportLifetime<<min(l.unansweredRelays, maxDoublings) {
 			l.free = 1
-			l.unanswered++
+			l.unansweredRelays++
 		}
 		if l != nil && l.free > 0 && (best == nil || l.free > n.peers[best].free) {
 			best = in
@@ -184,45 +184,45 @@
 	return best
 }
 
-func (n *design) load() load {
-	return load{free: n.pool().Free(spread.Short), backlog: n.queues[0].Len() + n.queues[1].Len()}
+func (n *designNode) ownLoad() peerLoad {
+	return peerLoad{free: n.pool().Free(spread.Short), backlog: n.queues[0].Len() + n.queues[1].Len()}
 }
 
-func (n *design) refuse(r *request) {
+func (n *designNode) refuse(r *request) {
 	rate := 0.0
 	if p := n.pool(); p != nil {
 		rate = p.ServiceRate()
 	}
-	n.c.respond(r, refused, time.Duration(n.returns.RetryAfter(n.c.now, rate, n.rng))*time.Second)
+	n.cluster.deliverResponse(r, refused, time.Duration(n.retryPacer.RetryAfter(n.cluster.now, rate, n.rng))*time.Second)
 }
 
 // dispatch sends q to a backend server if an owned slot is free for it.
-func (n *design) dispatch(q *queued) bool {
+func (n *designNode) dispatch(q *queuedRequest) bool {
 	p := n.pool()
-	l, ok := p.Acquire(n.c.now, q.class, "")
+	l, ok := p.Acquire(n.cluster.now, q.class, "")
 	if !ok {
 		return false
 	}
-	start := n.c.now
-	n.c.dispatch(n.self, n.c.backendOf(l.Target), q.r, q.expires, func(o spread.Outcome) {
-		n.pool().Release(n.c.now, l, q.key, o)
-		n.queues[q.class].Charge(q.r.mix.partner, n.c.now.Sub(start)-p.RunTime())
+	start := n.cluster.now
+	n.cluster.dispatch(n.self, n.cluster.backendByTarget(l.Target), q.r, q.expires, func(o spread.Outcome) {
+		n.pool().Release(n.cluster.now, l, q.key, o)
+		n.queues[q.class].Charge(q.r.traffic.partner, n.cluster.now.Sub(start)-p.RunTime())
 		switch o {
 		case spread.Success:
-			n.c.respond(q.r, served, 0)
+			n.cluster.deliverResponse(q.r, served, 0)
 		case spread.Shed:
 			n.refuse(q.r)
 		default:
-			n.c.respond(q.r, failed, 0)
+			n.cluster.deliverResponse(q.r, failed, 0)
 		}
-		n.pump()
+		n.dispatchQueued()
 	})
 	return true
 }
 
 // pump dispatches queued requests while slots are free. Long requests go
 // first: their number of slots is capped, so they cannot starve short ones.
-func (n *design) pump() {
+func (n *designNode) dispatchQueued() {
 	p := n.pool()
 	for _, c := range []spread.Class{spread.Long, spread.Short} {
 		for p.Free(c) > 0 {
@@ -231,7 +231,7 @@
 				break
 			}
 			n.waiting[c][partner]--
-			if n.c.now.Add(p.RunTime()) > q.expires {
+			if n.cluster.now.Add(p.RunTime()) > q.expires {
 				n.refuse(q.r)
 				continue
 			}
@@ -242,41 +242,41 @@
 		}
 	}
 	if n.queues[0].Len() == 0 && p.Free(spread.Short) > 0 {
-		n.announce(p.Free(spread.Short))
+		n.announceFreeSlots(p.Free(spread.Short))
 	}
 }
 
 // announce tells the peer with the greatest known backlog of free slots.
-func (n *design) announce(count int) {
+func (n *designNode) announceFreeSlots(count int) {
 	var best *instance
-	for _, in := range n.c.instances {
+	for _, in := range n.cluster.instances {
 		if l := n.peers[in]; l != nil && l.backlog > 0 && (best == nil || l.backlog > n.peers[best].backlog) {
 			best = in
 		}
 	}
 	if best != nil {
 		n.peers[best].backlog--
-		n.report(best, count)
+		n.sendLoad(best, count)
 	}
 }
 
 // report sends the own load.
-func (n *design) report(to *instance, count int) {
-	n.peers[to].told = n.c.now
-	n.c.send(to, slotFree{n.self, count, n.load()})
+func (n *designNode) sendLoad(to *instance, count int) {
+	n.peers[to].lastSent = n.cluster.now
+	n.cluster.sendData(to, slotReport{n.self, count, n.ownLoad()})
 }
 
-func (n *design) peer(m any) {
+func (n *designNode) handlePeer(m any) {
 	switch m := m.(type) {
-	case relayed:
-		n.learn(m.from, m.load)
-		n.take(m.r, m.hops)
-		if p := n.peers[m.from]; p != nil && n.c.now.Sub(p.told) > beliefAge {
-			n.report(m.from, 0)
+	case relayedRequest:
+		n.updatePeerLoad(m.from, m.load)
+		n.schedule(m.r, m.hops)
+		if p := n.peers[m.from]; p != nil && n.cluster.now.Sub(p.lastSent) > loadReportLifetime {
+			n.sendLoad(m.from, 0)
 		}
-	case slotFree:
-		n.learn(m.from, m.load)
-		if n.peers[m.from] == nil || m.count == 0 {
+	case slotReport:
+		n.updatePeerLoad(m.from, m.load)
+		if n.peers[m.from] == nil || m.freed == 0 {
 			return
 		}
 		if q, partner, ok := n.queues[spread.Short].Pop(); ok {
@@ -286,24 +286,26 @@
 	}
 }
 
-func (n *design) learn(from *instance, l load) {
+func (n *designNode) updatePeerLoad(from *instance, l peerLoad) {
 	if p := n.peers[from]; p != nil {
-		p.free, p.backlog, p.at, p.unanswered = l.free, l.backlog, n.c.now, 0
+		p.free, p.backlog, p.updated, p.unansweredRelays = l.free, l.backlog, n.cluster.now, 0
 	}
 }
 
-func (n *design) health(b *backend, healthy bool) {
-	n.pool().RecordCheck(n.c.now, spread.CheckResult{Target: b.target.Name, Healthy: healthy, Load: -1})
+func (n *designNode) handleHealth(b *backend, healthy bool) {
+	n.pool().RecordCheck(n.cluster.now, spread.CheckResult{Target: b.target.Name, Healthy: healthy, Load: -1})
 }
 
-func (n *design) tick() {
-	n.table.Tick(n.c.now, func(_ ids.Service, t ids.Target, _ string) { n.c.check(n.self, n.c.backendOf(t)) })
+func (n *designNode) tick() {
+	n.table.Tick(n.cluster.now, func(_ ids.Service, t ids.Target, _ string) {
+		n.cluster.checkHealth(n.self, n.cluster.backendByTarget(t))
+	})
 	for i := range n.queues {
-		n.queues[i].RemoveIf(func(q *queued) bool { return q.until < n.c.now || q.expires < n.c.now },
-			func(q *queued) {
-				n.waiting[i][q.r.mix.partner]--
+		n.queues[i].RemoveIf(func(q *queuedRequest) bool { return q.maxWaitEnd < n.cluster.now || q.expires < n.cluster.now },
+			func(q *queuedRequest) {
+				n.waiting[i][q.r.traffic.partner]--
 				n.refuse(q.r)
 			})
 	}
-	n.pump()
+	n.dispatchQueued()
 }
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -39,7 +39,7 @@
 }
 
 // outcome is everything that one run yields.
-type outcome struct {
+type runOutcome struct {
 	measures []measure
 	series   []series
 }
@@ -49,7 +49,7 @@
 	Name  string
 	Title string
 	plot  plotSpec
-	run   func(p policy, seed uint64) outcome
+	run   func(p policy, seed uint64) runOutcome
 }
 
 // Row is a figure of one policy over all seeds.
@@ -101,7 +101,7 @@
 // does not depend on the order in which the runs end.
 func (e *Experiment) Run(pool pond.Pool, seeds []uint64) (*Result, error) {
 	list := policies()
-	outcomes := make([]outcome, len(list)*len(seeds))
+	outcomes := make([]runOutcome, len(list)*len(seeds))
 	group := pool.NewGroup()
 	for i, p := range list {
 		for j, seed := range seeds {
@@ -131,12 +131,12 @@
 			}
 		}
 	}
-	res.sort()
+	res.sortRows()
 	return res, nil
 }
 
 // sort groups the rows by variant and metric, in the order of first use.
-func (r *Result) sort() {
+func (r *Result) sortRows() {
 	order := make(map[string]int)
 	for _, row := range r.Rows {
 		for _, k := range []string{row.Variant, row.Variant + "\x00" + row.Metric} {
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -12,11 +12,11 @@
 )
 
 // shortSteady runs one second at 70% load.
-func shortSteady(p policy, seed uint64) *cluster {
-	c := newCluster(seed, resolved(), p.make())
-	m := &mix{shortMean: shortRun, claims: 0.2}
-	m.load, m.peak = constant(steadyLoad)
-	m.generate(c.sim, slotCount, time.Second, func() { c.issue(m) })
+func runShortSteady(p policy, seed uint64) *cluster {
+	c := newCluster(seed, testConfig(), p.newFactory())
+	m := &trafficMix{meanShortRun: meanShortRun, nonIdempotentShare: 0.2}
+	m.load, m.peakLoad = constantLoad(steadyLoad)
+	m.generate(c.sim, slotCount, time.Second, func() { c.sendRequest(m) })
 	c.run(4 * time.Second)
 	return c
 }
@@ -25,11 +25,11 @@
 // then not be reproduced.
 func TestRunsAreDeterministic(t *testing.T) {
 	for _, p := range policies() {
-		a, b := shortSteady(p, 7), shortSteady(p, 7)
+		a, b := runShortSteady(p, 7), runShortSteady(p, 7)
 		assert.Equal(t, a.imbalance(), b.imbalance(), p.name)
 		assert.Equal(t, a.stats.short.ValueAtQuantile(99), b.stats.short.ValueAtQuantile(99), p.name)
 		assert.Equal(t, a.stats.relays, b.stats.relays, p.name)
-		other := shortSteady(p, 8)
+		other := runShortSteady(p, 8)
 		assert.Assert(t, a.imbalance() != other.imbalance(), p.name)
 	}
 }
@@ -38,7 +38,7 @@
 // every policy serves each of them.
 func TestEveryRequestIsServed(t *testing.T) {
 	for _, p := range policies() {
-		s := shortSteady(p, 1).stats
+		s := runShortSteady(p, 1).stats
 		assert.Equal(t, s.sum(0, 4*time.Second).served, s.requests, p.name)
 		assert.Assert(t, s.requests > 1500, p.name)
 	}
@@ -51,21 +51,21 @@
 	b := newBackend(s, 1, 0)
 	outcomes := map[spread.Outcome]int{}
 	send := func() {
-		b.accept(&job{run: shortRun, expires: s.now.Add(time.Minute), done: func(o spread.Outcome) { outcomes[o]++ }})
+		b.accept(&job{runTime: meanShortRun, expires: s.now.Add(time.Minute), onOutcome: func(o spread.Outcome) { outcomes[o]++ }})
 	}
-	for range slotsPerTarget + backendQueue + 3 {
+	for range slotsPerBackend + backendQueue + 3 {
 		send()
 	}
-	assert.Equal(t, b.running, slotsPerTarget)
+	assert.Equal(t, b.running, slotsPerBackend)
 	assert.Equal(t, outcomes[spread.Shed], 3)
 	s.run(time.Second)
-	assert.Equal(t, outcomes[spread.Success], slotsPerTarget+backendQueue)
-	b.account()
-	assert.Equal(t, b.busy, time.Duration(slotsPerTarget+backendQueue)*shortRun)
+	assert.Equal(t, outcomes[spread.Success], slotsPerBackend+backendQueue)
+	b.updateBusyTime()
+	assert.Equal(t, b.busyTime, time.Duration(slotsPerBackend+backendQueue)*meanShortRun)
 	send()
 	b.dead = true
 	s.run(2 * time.Second)
-	assert.Equal(t, outcomes[spread.Success], slotsPerTarget+backendQueue)
+	assert.Equal(t, outcomes[spread.Success], slotsPerBackend+backendQueue)
 }
 
 // Guards against a verdict that hides a seed that misses the goal.
@@ -83,21 +83,21 @@
 	c := &cluster{sim: newSim(1)}
 	s := newStats(c)
 	for i := range 100 {
-		w := s.at(epoch.Add(time.Duration(i) * windowLength))
-		w.latency = []time.Duration{10 * time.Millisecond}
+		w := s.windowAt(epoch.Add(time.Duration(i) * windowLength))
+		w.latencies = []time.Duration{10 * time.Millisecond}
 		if i >= 20 && i < 30 || i == 60 {
-			w.unserved = 1
+			w.notServedAtOnce = 1
 		}
 	}
 	limit := 20 * time.Millisecond
-	assert.Equal(t, s.recovery(2*time.Second, 3*time.Second, limit), 1400*time.Millisecond)
-	assert.Assert(t, s.recovery(2*time.Second, 6*time.Second, limit) > 4*time.Second)
+	assert.Equal(t, s.recoveryTime(2*time.Second, 3*time.Second, limit), 1400*time.Millisecond)
+	assert.Assert(t, s.recoveryTime(2*time.Second, 6*time.Second, limit) > 4*time.Second)
 }
 
 // Guards against reports without a policy or a seed.
 func TestReportHoldsAllRows(t *testing.T) {
-	e := &Experiment{Name: "x", Title: "X", run: func(p policy, seed uint64) outcome {
-		return outcome{measures: []measure{{"", "value", float64(seed), &Goal{true, 2}}}}
+	e := &Experiment{Name: "x", Title: "X", run: func(p policy, seed uint64) runOutcome {
+		return runOutcome{measures: []measure{{"", "value", float64(seed), &Goal{true, 2}}}}
 	}}
 	r, err := e.Run(pond.NewPool(2), []uint64{1, 2, 3})
 	assert.NilError(t, err)
--- a/internal/experiment/faults.go
+++ b/internal/experiment/faults.go
@@ -12,10 +12,10 @@
 	return &Experiment{
 		Name: "faults", Title: "Loss of an instance, and health endpoints that lie",
 		plot: plotSpec{x: "time (s)", y: "served at once (%)", lines: true, policies: []string{"least outstanding", "two choices", designName, coreName}},
-		run: func(p policy, seed uint64) outcome {
+		run: func(p policy, seed uint64) runOutcome {
 			lost := runFault(p, seed, 0.8, func(c *cluster) { c.kill(c.instances[instanceCount-1]) })
 			liars := runFault(p, seed, 0.6, killWithFalseHealth)
-			out := outcome{series: []series{lost.servedCurve("instance lost"), liars.servedCurve("endpoints lie")}}
+			out := runOutcome{series: []series{lost.servedCurve("instance lost"), liars.servedCurve("endpoints lie")}}
 			out.measures = append(out.measures, faultMeasures("instance lost at 80% load", lost)...)
 			out.measures = append(out.measures, faultMeasures("half of the endpoints lie, 60% load", liars)...)
 			return out
@@ -27,10 +27,10 @@
 // backend servers the health endpoint reports a failure from the start if the
 // fault is one of lies.
 func runFault(p policy, seed uint64, load float64, fault func(c *cluster)) *cluster {
-	c := newCluster(seed, resolved(), p.make())
-	m := &mix{shortMean: shortRun, claims: 0.2}
-	m.load, m.peak = constant(load)
-	m.generate(c.sim, slotCount, faultsRun, func() { c.issue(m) })
+	c := newCluster(seed, testConfig(), p.newFactory())
+	m := &trafficMix{meanShortRun: meanShortRun, nonIdempotentShare: 0.2}
+	m.load, m.peakLoad = constantLoad(load)
+	m.generate(c.sim, slotCount, faultsRun, func() { c.sendRequest(m) })
 	c.at(epoch.Add(faultAt), func() { fault(c) })
 	c.run(faultsRun)
 	return c
@@ -40,7 +40,7 @@
 // four that work report a failure, three that die report that all is well.
 func killWithFalseHealth(c *cluster) {
 	for i, b := range c.backends[:7] {
-		b.lies = true
+		b.falseHealth = true
 		b.dead = i >= 4
 	}
 }
@@ -49,13 +49,13 @@
 	s := c.stats
 	before := s.sum(time.Second, faultAt)
 	after := s.sum(faultAt, faultsRun-deadline)
-	limit := 2 * percentile(before.latency, 0.99)
+	limit := 2 * percentile(before.latencies, 0.99)
 	return []measure{
 		{name, "requests without a response", float64(s.failures), nil},
-		{name, "of the requests after the fault (%)", percent(s.failures, after.first), nil},
+		{name, "of the requests after the fault (%)", percent(s.failures, after.firstSent), nil},
 		{name, "refused requests (%)", percent(s.refusals, s.requests), nil},
-		{name, "p99 latency after the fault (ms)", milliseconds(percentile(after.latency, 0.99)), nil},
-		{name, "time to normal service (s)", s.recovery(faultAt, 20*time.Second, limit).Seconds(), nil},
+		{name, "p99 latency after the fault (ms)", milliseconds(percentile(after.latencies, 0.99)), nil},
+		{name, "time to normal service (s)", s.recoveryTime(faultAt, 20*time.Second, limit).Seconds(), nil},
 	}
 }
 
@@ -65,7 +65,7 @@
 	for t := time.Duration(0); t < faultsRun-deadline; t += 2 * windowLength {
 		w := c.stats.sum(t, t+2*windowLength)
 		out.x = append(out.x, t.Seconds())
-		out.y = append(out.y, percent(len(w.latency), len(w.latency)+w.unserved))
+		out.y = append(out.y, percent(len(w.latencies), len(w.latencies)+w.notServedAtOnce))
 	}
 	return out
 }
--- a/internal/experiment/headofline.go
+++ b/internal/experiment/headofline.go
@@ -7,20 +7,20 @@
 	warmUp     = 5 * time.Second
 	steadyRun  = 30 * time.Second
 	// fewTargets is the size of the slip and certificate services.
-	fewTargets = 4
+	fewBackends = 4
 
 	ratioMetric = "p99 of short requests, with over without"
 )
 
 // runSteady runs a constant load and measures latencies after the warm-up.
-func runSteady(p policy, seed uint64, targets int, m *mix) *cluster {
-	r := resolved()
+func runSteady(p policy, seed uint64, targets int, m *trafficMix) *cluster {
+	r := testConfig()
 	r.Profile.Protect.Deadline = longDeadline
 	r.Profile.Protect.QueueTime = longDeadline / 2
-	c := newClusterOf(seed, r, p.make(), targets)
-	c.stats.from, c.stats.to = warmUp, steadyRun
-	m.load, m.peak = constant(steadyLoad)
-	m.generate(c.sim, targets*slotsPerTarget, steadyRun, func() { c.issue(m) })
+	c := newClusterWithBackends(seed, r, p.newFactory(), targets)
+	c.stats.measureFrom, c.stats.measureTo = warmUp, steadyRun
+	m.load, m.peakLoad = constantLoad(steadyLoad)
+	m.generate(c.sim, targets*slotsPerBackend, steadyRun, func() { c.sendRequest(m) })
 	c.run(steadyRun + longDeadline)
 	return c
 }
@@ -29,21 +29,21 @@
 	return &Experiment{
 		Name: "head-of-line", Title: "Short requests among 2% that run 50 times longer, 70% load",
 		plot: plotSpec{y: "p99 with over p99 without long requests", metric: ratioMetric},
-		run: func(p policy, seed uint64) outcome {
-			var out outcome
+		run: func(p policy, seed uint64) runOutcome {
+			var out runOutcome
 			for _, v := range []struct {
 				name    string
 				targets int
 				hidden  bool
 				goal    *Goal
 			}{
-				{"15 targets", targetCount, false, &Goal{true, 1.5}},
-				{"15 targets, not predictable", targetCount, true, nil},
-				{"4 targets", fewTargets, false, &Goal{true, 1.5}},
+				{"15 targets", backendCount, false, &Goal{true, 1.5}},
+				{"15 targets, not predictable", backendCount, true, nil},
+				{"4 targets", fewBackends, false, &Goal{true, 1.5}},
 			} {
-				without := runSteady(p, seed, v.targets, &mix{shortMean: shortRun}).stats
+				without := runSteady(p, seed, v.targets, &trafficMix{meanShortRun: meanShortRun}).stats
 				base := without.short.ValueAtQuantile(99)
-				with := runSteady(p, seed, v.targets, &mix{shortMean: shortRun, longShare: 0.02, hidden: v.hidden}).stats
+				with := runSteady(p, seed, v.targets, &trafficMix{meanShortRun: meanShortRun, longShare: 0.02, unpredictable: v.hidden}).stats
 				short := with.short.ValueAtQuantile(99)
 				out.measures = append(out.measures,
 					measure{v.name, "p99 of short requests without long ones (ms)", float64(base) / 1000, nil},
--- a/internal/experiment/imbalance.go
+++ b/internal/experiment/imbalance.go
@@ -8,9 +8,9 @@
 
 // Times of the imbalance experiment.
 const (
-	evenRun      = 25 * time.Second
-	evenFrom     = 5 * time.Second
-	coldRequests = 20 // slow requests of each backend server after a cold start
+	imbalanceRun  = 25 * time.Second
+	imbalanceFrom = 5 * time.Second
+	coldRequests  = 20 // slow requests of each backend server after a cold start
 )
 
 func imbalance() *Experiment {
@@ -18,24 +18,24 @@
 	return &Experiment{
 		Name: "imbalance", Title: "Even use of backend servers at 70% load",
 		plot: plotSpec{y: metric, metric: metric},
-		run: func(p policy, seed uint64) outcome {
-			var out outcome
+		run: func(p policy, seed uint64) runOutcome {
+			var out runOutcome
 			for _, v := range []struct {
 				name     string
 				from, to time.Duration
 				prepare  func(c *cluster)
 			}{
-				{"steady", evenFrom, evenRun, func(*cluster) {}},
-				{"lists disagree", evenFrom, evenRun, disagree},
-				{"cold start", 0, evenRun - evenFrom, coldStart},
+				{"steady", imbalanceFrom, imbalanceRun, func(*cluster) {}},
+				{"lists disagree", imbalanceFrom, imbalanceRun, makeListsDisagree},
+				{"cold start", 0, imbalanceRun - imbalanceFrom, coldStart},
 			} {
-				c := newCluster(seed, resolved(), p.make())
+				c := newCluster(seed, testConfig(), p.newFactory())
 				v.prepare(c)
-				m := &mix{shortMean: shortRun, claims: 0.2}
-				m.load, m.peak = constant(steadyLoad)
-				m.generate(c.sim, slotCount, v.to, func() { c.issue(m) })
+				m := &trafficMix{meanShortRun: meanShortRun, nonIdempotentShare: 0.2}
+				m.load, m.peakLoad = constantLoad(steadyLoad)
+				m.generate(c.sim, slotCount, v.to, func() { c.sendRequest(m) })
 				c.run(v.from)
-				c.resetBusy()
+				c.resetBusyTime()
 				c.run(v.to)
 				out.measures = append(out.measures,
 					measure{v.name, metric, c.imbalance(), &Goal{true, 1.1}},
@@ -50,19 +50,19 @@
 // disagree gives each instance a list that lacks another one. The lists of the
 // core are gossiped, so for it the links between two pairs of instances go
 // down instead.
-func disagree(c *cluster) {
+func makeListsDisagree(c *cluster) {
 	for _, pair := range [][2]int{{0, 1}, {2, 3}} {
 		a, b := c.instances[pair[0]], c.instances[pair[1]]
-		c.cut[[2]*instance{a, b}], c.cut[[2]*instance{b, a}] = true, true
+		c.cutLinks[[2]*instance{a, b}], c.cutLinks[[2]*instance{b, a}] = true, true
 	}
 	for i, in := range c.instances {
 		without := map[ids.Instance]bool{c.instances[(i+1)%instanceCount].id: true}
-		in.node.instances(c.now, c.serving(without))
+		in.node.setInstances(c.now, c.serving(without))
 	}
 }
 
 func coldStart(c *cluster) {
 	for _, b := range c.backends {
-		b.cold = coldRequests
+		b.coldRequests = coldRequests
 	}
 }
--- a/internal/experiment/platform.go
+++ b/internal/experiment/platform.go
@@ -12,27 +12,27 @@
 
 // platform is the configuration service of the model.
 type platform struct {
-	c         *cluster
-	published *config.Resolved   // the last publication
-	documents []core.Publication // latest of each key
-	revision  ids.Revision
-	watches   []watch
+	cluster       *cluster
+	lastPublished *config.Resolved   // the last publication
+	documents     []core.Publication // latest of each key
+	revision      ids.Revision
+	watches       []watch
 }
 
 // watch is a pending watch of an instance.
 type watch struct {
-	n     *coreNode
-	after ids.Revision
+	node          *coreNode
+	afterRevision ids.Revision
 }
 
 const platformDelay = 3 * time.Millisecond
 
 // publish publishes the profile and the service of r once.
 func (p *platform) publish(r *config.Resolved) {
-	if p.published == r {
+	if p.lastPublished == r {
 		return
 	}
-	p.published = r
+	p.lastPublished = r
 	p.revision++
 	profile := core.Publication{Key: "profile/" + r.Profile.Name, Revision: p.revision, Value: []byte(profileText(&r.Profile))}
 	p.revision++
@@ -41,28 +41,28 @@
 	pending := p.watches
 	p.watches = nil
 	for _, w := range pending {
-		p.respond(w.n, w.after)
+		p.sendConfig(w.node, w.afterRevision)
 	}
 }
 
 // read answers a read, and a watch once there is something newer.
-func (p *platform) read(n *coreNode, after ids.Revision, wait bool) {
+func (p *platform) readConfig(n *coreNode, after ids.Revision, wait bool) {
 	if wait && after >= p.revision {
 		p.watches = append(p.watches, watch{n, after})
 		return
 	}
-	p.respond(n, after)
+	p.sendConfig(n, after)
 }
 
-func (p *platform) respond(n *coreNode, after ids.Revision) {
+func (p *platform) sendConfig(n *coreNode, after ids.Revision) {
 	e := &core.ConfigEvent{Revision: p.revision}
 	for _, d := range p.documents {
 		if d.Revision > after {
 			e.Documents = append(e.Documents, d)
 		}
 	}
-	p.c.after(platformDelay, func() {
-		n.call(func(now ids.Time, out *core.Effects) { n.core.HandleConfig(now, e, out) })
+	p.cluster.after(platformDelay, func() {
+		n.invoke(func(now ids.Time, out *core.Effects) { n.core.HandleConfig(now, e, out) })
 	})
 }
 
--- a/internal/experiment/policy.go
+++ b/internal/experiment/policy.go
@@ -8,8 +8,8 @@
 
 // policy is a named way to build instances. make is called once for each run.
 type policy struct {
-	name string
-	make func() maker
+	name       string
+	newFactory func() nodeFactory
 }
 
 // The policies that the objectives apply to: the real core, and the model of
@@ -21,18 +21,18 @@
 
 func policies() []policy {
 	return []policy{
-		{"random", func() maker { return newBaseline(pickRandom) }},
-		{"round robin", func() maker { return newBaseline(pickRoundRobin) }},
-		{"least outstanding", func() maker { return newBaseline(pickLeastOutstanding) }},
-		{"two choices", func() maker { return newBaseline(pickTwoChoices(new(loads))) }},
-		{designName, func() maker { return newDesign }},
-		{coreName, func() maker { return newCore }},
+		{"random", func() nodeFactory { return newBaseline(pickRandom) }},
+		{"round robin", func() nodeFactory { return newBaseline(pickRoundRobin) }},
+		{"least outstanding", func() nodeFactory { return newBaseline(pickLeastOutstanding) }},
+		{"two choices", func() nodeFactory { return newBaseline(pickTwoChoices(new(loadHistory))) }},
+		{designName, func() nodeFactory { return newDesignNode }},
+		{coreName, func() nodeFactory { return newCoreNode }},
 	}
 }
 
 // resolved returns the service of the model with the profile that the
 // experiments use.
-func resolved(partners ...config.Partner) *config.Resolved {
+func testConfig(partners ...config.Partner) *config.Resolved {
 	return &config.Resolved{
 		Service: config.Service{Name: serviceName, Port: 5683, Profile: "model"},
 		Profile: config.Profile{
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -49,9 +49,9 @@
 	_ = cw.Write(head) // the error is kept and returned below
 	for _, row := range r.Rows {
 		line := []string{r.Experiment.Name, row.Variant, row.Policy, row.Metric,
-			strings.ReplaceAll(row.Goal.String(), " ", ""), row.Verdict(), format(row.Median())}
+			strings.ReplaceAll(row.Goal.String(), " ", ""), row.Verdict(), formatValue(row.Median())}
 		for _, v := range row.Values {
-			line = append(line, format(v))
+			line = append(line, formatValue(v))
 		}
 		_ = cw.Write(line)
 	}
@@ -59,4 +59,4 @@
 	return cw.Error()
 }
 
-func format(v float64) string { return strconv.FormatFloat(v, 'f', 4, 64) }
+func formatValue(v float64) string { return strconv.FormatFloat(v, 'f', 4, 64) }
--- a/internal/experiment/workload.go
+++ b/internal/experiment/workload.go
@@ -8,19 +8,19 @@
 )
 
 // mix describes the requests of one group of callers.
-type mix struct {
-	partner   ids.Partner
-	shortMean time.Duration
-	longShare float64 // part of the requests that run longFactor times longer
+type trafficMix struct {
+	partner      ids.Partner
+	meanShortRun time.Duration
+	longShare    float64 // part of the requests that run longFactor times longer
 	// hidden makes long requests use the paths of short ones, so that nothing
 	// about them can be predicted.
-	hidden bool
+	unpredictable bool
 	// claims is the part of the requests that are not idempotent.
-	claims float64
+	nonIdempotentShare float64
 	// load is the offered work of first attempts as a share of the capacity
 	// of all slots, by time since the start.
-	load func(time.Duration) float64
-	peak float64 // greatest value of load
+	load     func(time.Duration) float64
+	peakLoad float64 // greatest value of load
 }
 
 const (
@@ -33,17 +33,17 @@
 )
 
 // mean returns the mean run time of a request.
-func (m *mix) mean() time.Duration {
-	return time.Duration(float64(m.shortMean) * (1 - m.longShare + m.longShare*longFactor))
+func (m *trafficMix) meanRunTime() time.Duration {
+	return time.Duration(float64(m.meanShortRun) * (1 - m.longShare + m.longShare*longFactor))
 }
 
-func constant(v float64) (func(time.Duration) float64, float64) {
+func constantLoad(v float64) (func(time.Duration) float64, float64) {
 	return func(time.Duration) float64 { return v }, v
 }
 
 // swing rises from low to high within ramp at time from, holds for hold, and
 // falls back within ramp.
-func swing(low, high float64, from, ramp, hold time.Duration) func(time.Duration) float64 {
+func loadSwing(low, high float64, from, ramp, hold time.Duration) func(time.Duration) float64 {
 	return func(t time.Duration) float64 {
 		up := float64(t-from) / float64(ramp)
 		down := float64(from+2*ramp+hold-t) / float64(ramp)
@@ -53,40 +53,40 @@
 
 // request is one request of a caller, through all its transmissions.
 type request struct {
-	mix     *mix
-	caller  int
-	path    uint64
-	run     time.Duration
-	long    bool
-	claim   bool
-	sent    ids.Time // first transmission
-	attempt ids.Time // last transmission that is not a repeat
-	tries   int      // attempts after a refusal included
-	repeats int      // retransmissions of the current attempt
-	settled bool     // answered, refused for good or given up
-	acked   bool
-	holder  *instance // has the request
-	waiting bool      // refused, waiting for the time to come back
+	traffic         *trafficMix
+	callerIndex     int
+	path            uint64
+	runTime         time.Duration
+	long            bool
+	nonIdempotent   bool
+	firstSent       ids.Time // first transmission
+	attemptStart    ids.Time // last transmission that is not a repeat
+	attempts        int      // attempts after a refusal included
+	retransmissions int      // retransmissions of the current attempt
+	settled         bool     // answered, refused for good or given up
+	acked           bool
+	receiver        *instance // has the request
+	retryPending    bool      // refused, waiting for the time to come back
 	// Used with the core only: the admission token, the number in the CoAP
 	// token, and the message id with the attempt that it belongs to.
-	echo   []byte
-	serial uint32
-	id     uint16
-	sentAs [2]int
+	echo       []byte
+	serial     uint32
+	messageID  uint16
+	messageKey [2]int
 
-	dispatched int // times that it was sent to a backend server
+	dispatches int // times that it was sent to a backend server
 }
 
 // draw returns a new request of m.
-func (m *mix) draw(s *sim, callers int) *request {
-	r := &request{mix: m, caller: s.rng.IntN(callers)}
+func (m *trafficMix) newRequest(s *sim, callers int) *request {
+	r := &request{traffic: m, callerIndex: s.rng.IntN(callers)}
 	r.long = s.rng.Float64() < m.longShare
-	r.claim = !r.long && s.rng.Float64() < m.claims
-	r.run = gamma(s, m.shortMean)
+	r.nonIdempotent = !r.long && s.rng.Float64() < m.nonIdempotentShare
+	r.runTime = gammaRunTime(s, m.meanShortRun)
 	if r.long {
-		r.run *= longFactor
+		r.runTime *= longFactor
 	}
-	if r.long && !m.hidden {
+	if r.long && !m.unpredictable {
 		r.path = ids.Mix(0x10, uint64(s.rng.IntN(longPaths)))
 	} else {
 		r.path = ids.Mix(0x5, uint64(s.rng.IntN(shortPaths)))
@@ -96,7 +96,7 @@
 
 // gamma draws a run time with the given mean: the sum of runShape exponential
 // times.
-func gamma(s *sim, mean time.Duration) time.Duration {
+func gammaRunTime(s *sim, mean time.Duration) time.Duration {
 	product := 1.0
 	for range runShape {
 		product *= 1 - s.rng.Float64()
@@ -106,8 +106,8 @@
 
 // generate schedules the Poisson arrivals of m by thinning and calls issue for
 // each.
-func (m *mix) generate(s *sim, slots int, end time.Duration, issue func()) {
-	highest := m.peak * float64(slots) / m.mean().Seconds()
+func (m *trafficMix) generate(s *sim, slots int, end time.Duration, issue func()) {
+	highest := m.peakLoad * float64(slots) / m.meanRunTime().Seconds()
 	if highest <= 0 {
 		return
 	}
@@ -116,7 +116,7 @@
 		if s.elapsed() >= end {
 			return
 		}
-		if s.rng.Float64()*m.peak < m.load(s.elapsed()) {
+		if s.rng.Float64()*m.peakLoad < m.load(s.elapsed()) {
 			issue()
 		}
 		s.after(time.Duration(s.rng.ExpFloat64()/highest*float64(time.Second)), next)
