--- a/cmd/capacity/main.go
+++ b/cmd/capacity/main.go
@@ -1,5 +1,6 @@
-// Command capacity measures how the costs of an instance grow and writes the
-// slopes, and the figures that they give at the target size.
+// Command capacity measures how the resource use of an instance grows with the
+// size of the deployment. It writes the slopes and the figures computed from
+// them for the target size.
 package main
 
 import (
@@ -17,8 +18,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// memoryLimit is where the garbage collector begins to work harder; the run
-// needs about a tenth of it.
+// memoryLimit is the soft memory limit of the Go runtime, above which the
+// garbage collector runs more often. A run needs about a tenth of it.
 const memoryLimit = 6 << 30
 
 type arguments struct {
@@ -79,7 +80,8 @@
 	return writeTarget(args, results)
 }
 
-// target writes the figures at the target size.
+// writeTarget writes the figures at the target size to target.md and updates the
+// table in the documentation page.
 func writeTarget(args *arguments, results []capacity.Result) error {
 	if err := writeFile(filepath.Join(args.Out, "target.md"), results, capacity.WriteTarget); err != nil {
 		return err
@@ -107,12 +109,12 @@
 	return list
 }
 
-func writeFile(path string, results []capacity.Result, to func(io.Writer, []capacity.Result) error) error {
+func writeFile(path string, results []capacity.Result, encode func(io.Writer, []capacity.Result) error) error {
 	f, err := os.Create(path)
 	if err != nil {
-		return eris.Wrap(err, "create table")
+		return eris.Wrap(err, "create output file")
 	}
-	if err := to(f, results); err != nil {
+	if err := encode(f, results); err != nil {
 		f.Close()
 		return eris.Wrapf(err, "write %s", path)
 	}
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -1,7 +1,8 @@
-// Package capacity measures how state, messages, processor time and delays of
-// an instance grow, fits a line to each, and computes the figures at the target
-// size. It drives the real packages over a virtual clock, and loopback sockets
-// where the cost of the network path counts.
+// Package capacity measures how the memory, messages, CPU time and delays of an
+// instance grow with the size of the deployment, fits a line to each
+// measurement, and computes the figures at the target size. It drives the
+// production packages with a virtual clock, and uses loopback sockets where the
+// cost of the network path matters.
 package capacity
 
 import (
@@ -11,22 +12,22 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Point is one measurement: Y at size X.
+// Point is one measurement: the value Y at size X.
 type Point struct{ X, Y float64 }
 
-// Shape tells how a curve grows.
+// Shape classifies how a measured value grows with the size.
 type Shape uint8
 
-// Shapes of a curve.
+// Shapes of a measurement.
 const (
 	Line     Shape = iota
-	Constant       // the greatest value is within constantRange of the least
-	Curve          // neither; extrapolated by a power of the size
+	Constant       // the greatest value is at most maxConstantRatio times the least
+	Curve          // neither of the two; extrapolated by a power of the size
 )
 
 const (
-	maxConstantRatio = 1.25
-	minLineR2        = 0.98
+	maxConstantRatio = 1.25 // greatest over least value
+	minLineR2        = 0.98 // coefficient of determination
 )
 
 // Fit is a least-squares line through the points of a measurement.
@@ -34,35 +35,35 @@
 	Points           []Point
 	Intercept, Slope float64
 	StdErr           float64 // standard error of Slope
-	R2               float64
-	Exponent         float64 // slope of log Y over log X; NaN when Y is not positive
+	R2               float64 // coefficient of determination of the line
+	Exponent         float64 // slope of log Y over log X; NaN when fewer than three points are positive
 	Shape            Shape
 }
 
-// NewFit fits a line. It needs at least three sizes.
+// NewFit fits a line to points, which must cover at least three sizes.
 func NewFit(points []Point) Fit {
 	f := Fit{Points: points, Exponent: math.NaN()}
-	var x, y, lx, ly []float64
+	var x, y, logX, logY []float64
 	for _, p := range points {
 		x, y = append(x, p.X), append(y, p.Y)
 		if p.X > 0 && p.Y > 0 {
-			lx, ly = append(lx, math.Log(p.X)), append(ly, math.Log(p.Y))
+			logX, logY = append(logX, math.Log(p.X)), append(logY, math.Log(p.Y))
 		}
 	}
 	f.Intercept, f.Slope = stat.LinearRegression(x, y, nil, false)
 	f.R2 = stat.RSquared(x, y, nil, f.Intercept, f.Slope)
-	var rest float64
+	var squaredResiduals float64
 	for i := range x {
-		r := y[i] - f.Intercept - f.Slope*x[i]
-		rest += r * r
+		residual := y[i] - f.Intercept - f.Slope*x[i]
+		squaredResiduals += residual * residual
 	}
 	n := float64(len(x))
-	f.StdErr = math.Sqrt(rest/(n-2)) / math.Sqrt((n-1)*stat.Variance(x, nil))
-	if len(lx) > 2 {
-		_, f.Exponent = stat.LinearRegression(lx, ly, nil, false)
+	f.StdErr = math.Sqrt(squaredResiduals/(n-2)) / math.Sqrt((n-1)*stat.Variance(x, nil))
+	if len(logX) > 2 {
+		_, f.Exponent = stat.LinearRegression(logX, logY, nil, false)
 	}
-	switch least, most := slices.Min(y), slices.Max(y); {
-	case most == least || least > 0 && most <= maxConstantRatio*least:
+	switch minY, maxY := slices.Min(y), slices.Max(y); {
+	case maxY == minY || minY > 0 && maxY <= maxConstantRatio*minY:
 		f.Shape = Constant
 	case f.R2 >= minLineR2:
 		f.Shape = Line
@@ -72,19 +73,20 @@
 	return f
 }
 
-// Last returns the measurement at the greatest size.
+// Last returns the measurement at the greatest size, which is the last point.
 func (f *Fit) Last() Point { return f.Points[len(f.Points)-1] }
 
-// At returns the value at size x: on the line, the greatest measured value of
-// a constant, or the last value scaled by the fitted power of the size.
+// At returns the value at size x. This is the value on the line, the greatest
+// measured value of a constant, or for a curve the value measured at x, else
+// the last measured value scaled by the fitted power of the size.
 func (f *Fit) At(x float64) float64 {
 	switch f.Shape {
 	case Constant:
-		most := f.Points[0].Y
+		largest := f.Points[0].Y
 		for _, p := range f.Points {
-			most = max(most, p.Y)
+			largest = max(largest, p.Y)
 		}
-		return most
+		return largest
 	case Line:
 		return f.Intercept + f.Slope*x
 	}
--- a/internal/capacity/fit_test.go
+++ b/internal/capacity/fit_test.go
@@ -8,15 +8,15 @@
 	"gotest.tools/v3/assert"
 )
 
-func fitFunction(y func(x float64) float64) Fit {
+func fitFunction(f func(x float64) float64) Fit {
 	var points []Point
 	for _, x := range []float64{10, 20, 50, 100} {
-		points = append(points, Point{x, y(x)})
+		points = append(points, Point{x, f(x)})
 	}
 	return NewFit(points)
 }
 
-// Guards against a curve that is reported and extrapolated as a line.
+// Guards against a curve that is classified and extrapolated as a line.
 func TestShapes(t *testing.T) {
 	line := fitFunction(func(x float64) float64 { return 3 + 2*x })
 	assert.Equal(t, line.Shape, Line)
@@ -29,23 +29,24 @@
 	assert.Equal(t, flat.At(1e6), 7.0)
 }
 
-// Guards against an excess that is not printed as such, and against a figure
-// that counts a measure which was not made as 0.
-func TestTargetNamesExcessAndGaps(t *testing.T) {
-	over := Figure{Budget: 5, Value: 6}
-	assert.Assert(t, strings.Contains(over.Ratio(), "OVER"))
+// Guards against a figure over its budget that is not marked as such, and
+// against a figure that uses 0 for a measurement that was not run.
+func TestTargetMarksExcessAndMissingResults(t *testing.T) {
+	figure := Figure{Budget: 5, Value: 6}
+	assert.Assert(t, strings.Contains(figure.Ratio(), "OVER"))
 	var b strings.Builder
 	assert.NilError(t, WriteTarget(&b, nil))
 	assert.Assert(t, !strings.Contains(b.String(), "OVER"))
 	assert.Equal(t, strings.Count(b.String(), "not measured"), strings.Count(b.String(), "\n| ")-3-constantOnlyFigures)
 }
 
-// noMeasure is the number of figures that are computed from constants only.
+// constantOnlyFigures is the number of figures that are computed from constants
+// and need no measurement.
 const constantOnlyFigures = 3
 
-// Guards against a table of the target that cannot be computed again from the
-// slopes that were written.
-func TestReadsItsOwnTable(t *testing.T) {
+// Guards against a CSV file of slopes from which the table of figures at the
+// target size cannot be computed again.
+func TestCSVRoundTrip(t *testing.T) {
 	m := &Measure{Name: "memory-flow", Unit: "B", SizeName: "open flows"}
 	written := []Result{{Measure: m, Fit: fitFunction(func(x float64) float64 { return 10 * x }), Measured: true}}
 	var b strings.Builder
@@ -57,7 +58,7 @@
 	assert.Assert(t, read[0].Measured && math.Abs(read[0].Slope-10) < 1e-9)
 }
 
-// Guards against a page whose text is lost when its table is replaced.
+// Guards against UpdatePage changing the text outside the generated table.
 func TestUpdatePageKeepsText(t *testing.T) {
 	page, err := UpdatePage([]byte("before\n"+beginMarker+"old\n"+endMarker+"after\n"), nil)
 	assert.NilError(t, err)
--- a/internal/capacity/fleet.go
+++ b/internal/capacity/fleet.go
@@ -16,34 +16,34 @@
 	linkDelay     = time.Millisecond
 	platformDelay = 3 * time.Millisecond
 	watchTimeout  = 30 * time.Second
-	framingBytes  = 30   // bytes of TLS and WebSocket framing for each message
-	controlRate   = 2048 // bytes a second that an instance may send
+	framingBytes  = 30   // TLS and WebSocket framing of a message
+	controlRate   = 2048 // limit of the control bytes that an instance sends in a second
 )
 
-// fleet is one data centre: cores joined by links with a byte budget, and the
-// platform, on a virtual clock.
+// fleet simulates one data centre on a virtual clock: cores that are connected
+// by links with a byte budget, and the platform that publishes configuration.
 type fleet struct {
 	now               ids.Time
-	rateLimit         int // control bytes a second; 0 for no limit
-	initialBytes      int // bytes beyond the rate at the start
+	rateLimit         int // control bytes per second and instance; 0 means no limit
+	initialBytes      int // bytes that an instance may send beyond rateLimit at the start
 	nodes             []*fleetNode
 	nodesByID         map[ids.Instance]*fleetNode
 	events            eventQueue
 	lastSequence      int
-	documents         []core.Publication // latest of each key, in order of revision
+	documents         []core.Publication // latest version of each key, ordered by revision
 	revision          ids.Revision
 	watches           []watch
-	platformDown      bool    // the platform cannot be reached
-	platformReads     int     // calls of the platform, a watch counts as one
-	sentBytes         float64 // control bytes sent, framing included
-	droppedHeartbeats int     // heartbeats over budget
+	platformDown      bool    // the platform is unreachable
+	platformReads     int     // requests to the platform; a watch counts as one
+	sentBytes         float64 // control bytes sent, including framing
+	droppedHeartbeats int     // heartbeats dropped because they exceeded the budget
 }
 
 type fleetNode struct {
 	core      *core.Core
 	effects   core.Effects
 	budget    *link.Budget
-	sendQueue []queuedMessage // waits for the budget
+	sendQueue []queuedMessage // messages that wait for the byte budget
 }
 
 type queuedMessage struct {
@@ -78,14 +78,14 @@
 	return last
 }
 
-// newFleet returns n instances that know nothing of each other. The limit of
-// rate applies from the end of warm, or from limit.
-func newFleet(n, services, targets, rate int) *fleet {
+// newFleet returns a fleet whose instances have empty member lists. The rate
+// limit takes effect at the end of warmUp, or when applyRateLimit is called.
+func newFleet(instances, services, targets, rate int) *fleet {
 	f := &fleet{now: epoch, rateLimit: rate, nodesByID: map[ids.Instance]*fleetNode{}}
-	for i := range n {
-		x := &fleetNode{core: newCore(i)}
-		f.nodes = append(f.nodes, x)
-		f.nodesByID[instanceName(i)] = x
+	for i := range instances {
+		node := &fleetNode{core: newCore(i)}
+		f.nodes = append(f.nodes, node)
+		f.nodesByID[instanceName(i)] = node
 	}
 	f.publish("profile/standard", profileDocument(0))
 	for i := range services {
@@ -94,8 +94,9 @@
 	return f
 }
 
-// warm brings all instances to the state after a long run: each serves and
-// knows all others as serving, and no change is under way.
+// warmUp brings all instances to the steady state of a long run: each one
+// serves, its member list has all others as serving, and no change is being
+// propagated.
 func (f *fleet) warmUp() {
 	f.run(tickInterval)
 	f.distributeMembers(peerwire.Joining, 0)
@@ -103,16 +104,17 @@
 		f.run(5 * tickInterval)
 		serving = !slices.ContainsFunc(f.nodes, func(n *fleetNode) bool { return n.core.Snapshot().Lifecycle != "serving" })
 	}
-	// At once, before the instances tell each other.
+	// All records are distributed at once, before gossip spreads them.
 	f.distributeMembers(peerwire.Serving, 1)
 	f.runUntilSteady()
-	// Instances that watched while the lists grew stop when their watch ends.
+	// Instances that became watchers while the member lists were incomplete stop
+	// watching when their current watch ends.
 	f.expireWatches(f.now.Add(watchTimeout))
 	f.run(time.Second)
 	f.applyRateLimit()
 }
 
-// limit applies the limit of control bytes.
+// applyRateLimit limits the control bytes of every instance from now on.
 func (f *fleet) applyRateLimit() {
 	for _, n := range f.nodes {
 		if f.rateLimit > 0 {
@@ -122,24 +124,24 @@
 	}
 }
 
-// settle runs until the traffic has stopped to fall, at most two minutes.
+// runUntilSteady runs until the traffic no longer falls, at most two minutes.
 func (f *fleet) runUntilSteady() {
 	const period = 3 * time.Second
-	for last, end := math.Inf(1), f.now.Add(2*time.Minute); f.now < end; {
+	for lastBytes, end := math.Inf(1), f.now.Add(2*time.Minute); f.now < end; {
 		f.sentBytes = 0
 		f.run(period)
-		if f.sentBytes > 0.97*last {
+		if f.sentBytes > 0.97*lastBytes {
 			return
 		}
-		last = f.sentBytes
+		lastBytes = f.sentBytes
 	}
 }
 
-// tellAll gives every instance the records of all others.
-func (f *fleet) distributeMembers(state peerwire.Lifecycle, counter uint32) {
+// distributeMembers delivers to every instance the member records of all others.
+func (f *fleet) distributeMembers(lifecycle peerwire.Lifecycle, counter uint32) {
 	var records []peerwire.Member
 	for i := range f.nodes {
-		records = append(records, memberRecord(i, state, counter))
+		records = append(records, memberRecord(i, lifecycle, counter))
 	}
 	for i, n := range f.nodes {
 		others := append(append([]peerwire.Member(nil), records[:i]...), records[i+1:]...)
@@ -149,7 +151,8 @@
 	}
 }
 
-// agreed reports whether every instance knows all as serving.
+// converged reports whether every instance has all instances in its member list
+// as serving and unsuspected.
 func (f *fleet) converged() bool {
 	for _, n := range f.nodes {
 		serving := 0
@@ -165,13 +168,13 @@
 	return true
 }
 
-func (f *fleet) schedule(d time.Duration, do func()) {
+func (f *fleet) schedule(delay time.Duration, action func()) {
 	f.lastSequence++
-	heap.Push(&f.events, scheduledEvent{f.now.Add(d), f.lastSequence, do})
+	heap.Push(&f.events, scheduledEvent{f.now.Add(delay), f.lastSequence, action})
 }
 
-// run advances the clock in steps of 1 ms; each instance ticks every 10 ms at
-// its own phase.
+// run advances the clock by d in steps of 1 ms. Each instance ticks every 10 ms;
+// the ticks of the instances are spread over these 10 ms.
 func (f *fleet) run(d time.Duration) {
 	for end := f.now.Add(d); f.now < end; {
 		f.now = f.now.Add(time.Millisecond)
@@ -190,9 +193,10 @@
 	}
 }
 
-func (f *fleet) invoke(n *fleetNode, do func(out *core.Effects)) {
+// invoke calls fn for the core of n and carries out the resulting effects.
+func (f *fleet) invoke(n *fleetNode, fn func(out *core.Effects)) {
 	n.effects.Reset()
-	do(&n.effects)
+	fn(&n.effects)
 	for i := range n.effects.List {
 		e := &n.effects.List[i]
 		switch e.Kind {
@@ -212,12 +216,12 @@
 	f.invoke(n, func(out *core.Effects) { n.core.HandlePeer(f.now, &core.PeerEvent{Message: m}, out) })
 }
 
-// send applies the budget as internal/link does: a heartbeat over it is
-// dropped, other messages wait.
+// send applies the byte budget as internal/link does: a heartbeat that exceeds
+// it is dropped, other messages are queued.
 func (f *fleet) send(n *fleetNode, to ids.Instance, m *peerwire.Message) {
 	raw, err := peerwire.Encode(nil, m)
 	if err != nil {
-		panic(err) // the core has built a message that cannot be sent
+		panic(err) // the core built a message that cannot be encoded
 	}
 	if m.Heartbeat == nil {
 		n.sendQueue = append(n.sendQueue, queuedMessage{to, raw})
@@ -233,6 +237,7 @@
 	f.deliver(to, raw)
 }
 
+// flush sends queued messages as far as the byte budget allows.
 func (f *fleet) flush(n *fleetNode) {
 	for len(n.sendQueue) > 0 {
 		if n.budget != nil {
@@ -249,8 +254,8 @@
 
 func (f *fleet) deliver(to ids.Instance, raw []byte) {
 	f.sentBytes += float64(len(raw) + framingBytes)
-	d := f.nodesByID[to]
-	if d == nil {
+	receiver := f.nodesByID[to]
+	if receiver == nil {
 		return
 	}
 	f.schedule(linkDelay, func() {
@@ -258,6 +263,6 @@
 		if err := peerwire.Decode(raw, m); err != nil {
 			panic(err)
 		}
-		f.handlePeer(d, m)
+		f.handlePeer(receiver, m)
 	})
 }
--- a/internal/capacity/fleetslopes.go
+++ b/internal/capacity/fleetslopes.go
@@ -12,28 +12,28 @@
 	fleetServices  = 20
 	fleetTargets   = 4
 	changesPerHour = 15_000 / 24
-	startBytes     = 128 << 10 // default of link.start_bytes
-	// changeGap is the mean time between two of 15,000 changes a day.
+	startBytes     = 128 << 10 // default of the setting link.start_bytes
+	// changeInterval is the mean time between changes at 15,000 changes a day.
 	changeInterval     = 24 * time.Hour / 15_000
-	propagationTimeout = 60 * time.Second // a change that takes longer counts as this
-	convergenceTimeout = 180 * time.Second
+	propagationTimeout = 60 * time.Second  // measured for a change that takes longer
+	convergenceTimeout = 180 * time.Second // longest cold start or recovery that is measured
 )
 
 func fleetMeasures() []Measure {
 	instances := []float64{5, 20, 50, 200, 500}
 	outcomes := map[float64]fleetOutcome{}
-	outcome := func(x float64) fleetOutcome { // one run serves several measures
+	outcome := func(x float64) fleetOutcome { // several measures share one run
 		if _, ok := outcomes[x]; !ok {
 			outcomes[x] = runFleet(int(x), fleetTargets, 4)
 		}
 		return outcomes[x]
 	}
-	healed := map[float64][2]float64{}
-	heal := func(x float64) [2]float64 {
-		if _, ok := healed[x]; !ok {
-			healed[x] = measurePartitionRecovery(int(x))
+	recoveries := map[float64][2]float64{}
+	recovery := func(x float64) [2]float64 {
+		if _, ok := recoveries[x]; !ok {
+			recoveries[x] = measurePartitionRecovery(int(x))
 		}
-		return healed[x]
+		return recoveries[x]
 	}
 	return []Measure{
 		{Name: "peer-bytes-instances", Unit: "B/s", SizeName: "instances", Sizes: instances,
@@ -55,15 +55,16 @@
 		{Name: "cold-start-grant", Unit: "s", SizeName: "instances", Sizes: []float64{40, 80, 160, 300},
 			Run: func(x float64) float64 { return measureColdStart(int(x), controlRate, startBytes) }, Note: "the same with 2,048 B/s and link.start_bytes"},
 		{Name: "heal-seconds", Unit: "s", SizeName: "instances", Sizes: []float64{5, 10, 20, 30},
-			Run: func(x float64) float64 { return heal(x)[0] }, Note: "after a partition from the platform, until 625 changes are in force at all, 180 s at most"},
+			Run: func(x float64) float64 { return recovery(x)[0] }, Note: "after a partition from the platform, until 625 changes are in force at all, 180 s at most"},
 		{Name: "heal-reads", Unit: "reads/s", SizeName: "instances", Sizes: []float64{5, 10, 20, 30},
-			Run: func(x float64) float64 { return heal(x)[1] }, Note: "in the busiest second of the same, one data centre"},
+			Run: func(x float64) float64 { return recovery(x)[1] }, Note: "in the busiest second of the same, one data centre"},
 	}
 }
 
-// catchUp parts a data centre from the platform, publishes an hour of changes,
-// ends the partition, and returns the seconds until they are in force at every
-// instance and the reads of the platform in the busiest second.
+// measurePartitionRecovery partitions a data centre from the platform, publishes
+// the changes of an hour, and ends the partition. It returns the seconds until
+// every instance has applied the changes, and the reads of the platform in the
+// busiest second.
 func measurePartitionRecovery(instances int) [2]float64 {
 	f := newFleet(instances, changesPerHour, fleetTargets, controlRate)
 	f.warmUp()
@@ -74,36 +75,37 @@
 	for i := range changesPerHour {
 		last = f.publish("service/"+string(serviceName(i)), serviceDocument(i, fleetTargets, "dc0", int(f.revision)))
 	}
-	f.run(90 * time.Second) // the time between attempts reaches its maximum
+	f.run(90 * time.Second) // until the retry interval of the instances has reached its maximum
 	f.platformDown = false
-	begin, most := f.now, 0
+	begin, maxReads := f.now, 0
 	for f.now.Sub(begin) < convergenceTimeout {
 		before := f.platformReads
 		f.run(time.Second)
-		most = max(most, f.platformReads-before)
+		maxReads = max(maxReads, f.platformReads-before)
 		if f.hasRevision(last) {
 			break
 		}
 	}
-	return [2]float64{f.now.Sub(begin).Seconds(), float64(most)}
+	return [2]float64{f.now.Sub(begin).Seconds(), float64(maxReads)}
 }
 
-// reached reports whether revision r is in force at every instance.
+// hasRevision reports whether every instance has applied revision r.
 func (f *fleet) hasRevision(r ids.Revision) bool {
 	return !slices.ContainsFunc(f.nodes, func(n *fleetNode) bool { return n.core.Revision() < r })
 }
 
-// fleetOutcome is what one run of a fleet shows.
+// fleetOutcome holds the measurements of one run of a fleet.
 type fleetOutcome struct {
-	idleBytes, idleReads   float64 // each second at rest: sent by one instance, by all
-	dailyDelay, burstDelay float64 // seconds
-	changeBytes            float64 // sent by one instance for all daily changes
-	changeReads            int
+	idleBytes, idleReads   float64 // per second without changes: bytes sent by one instance, reads by all
+	dailyDelay, burstDelay float64 // seconds until every instance has applied the change
+	changeBytes            float64 // sent by one instance for the changes at the daily rate
+	changeReads            int     // reads by all instances for these changes
 	droppedHeartbeats      int
 }
 
-// runFleet measures a warm data centre at rest, then changes at the daily rate,
-// then a burst. Without changes it ends after the rest.
+// runFleet measures a data centre in its steady state, first without changes,
+// then with changes at the daily rate, then with a burst of changes. If changes
+// is 0, only the first part runs.
 func runFleet(instances, targets, changes int) fleetOutcome {
 	f := newFleet(instances, fleetServices, targets, controlRate)
 	f.warmUp()
@@ -111,23 +113,23 @@
 		f.run(20 * time.Second)
 	}
 	if !f.converged() {
-		panic("capacity: the instances of a warm fleet do not agree")
+		panic("capacity: member lists have not converged after the warm-up")
 	}
 	var o fleetOutcome
-	rest := 10 * time.Second
+	idleTime := 10 * time.Second
 	f.sentBytes = 0
-	f.run(rest)
-	o.idleBytes = f.sentBytes / rest.Seconds() / float64(instances)
+	f.run(idleTime)
+	o.idleBytes = f.sentBytes / idleTime.Seconds() / float64(instances)
 	if changes == 0 {
 		return o
 	}
 	f.sentBytes, f.platformReads = 0, 0
 	begin := f.now
 	for i := range changes {
-		next := f.now.Add(changeInterval)
+		nextChange := f.now.Add(changeInterval)
 		r := f.publishChange(i)
 		o.dailyDelay = max(o.dailyDelay, f.awaitRevision(r))
-		f.run(next.Sub(f.now))
+		f.run(nextChange.Sub(f.now))
 	}
 	o.changeBytes = f.sentBytes/float64(instances) - o.idleBytes*f.now.Sub(begin).Seconds()
 	o.changeReads = f.platformReads
@@ -144,34 +146,35 @@
 	return o
 }
 
-// change publishes a new version of service i.
+// publishChange publishes a new version of service i.
 func (f *fleet) publishChange(i int) ids.Revision {
 	i %= fleetServices
 	return f.publish("service/"+string(serviceName(i)), serviceDocument(i, fleetTargets, "dc0", int(f.revision)))
 }
 
-// await returns the seconds until revision r is in force at every instance.
+// awaitRevision runs until every instance has applied revision r, at most
+// propagationTimeout, and returns the seconds that this took.
 func (f *fleet) awaitRevision(r ids.Revision) float64 {
 	begin := f.now
 	for waiting := f.nodes; f.now.Sub(begin) < propagationTimeout; f.run(tickInterval) {
-		var left []*fleetNode
+		var remaining []*fleetNode
 		for _, n := range waiting {
 			if n.core.Revision() < r {
-				left = append(left, n)
+				remaining = append(remaining, n)
 			}
 		}
-		if waiting = left; len(waiting) == 0 {
+		if waiting = remaining; len(waiting) == 0 {
 			break
 		}
 	}
 	return f.now.Sub(begin).Seconds()
 }
 
-// coldStart starts all instances at once, with one seed list, and returns the
-// seconds until they agree.
-func measureColdStart(instances, rate, granted int) float64 {
+// measureColdStart starts all instances at once with the same seed list and
+// returns the seconds until their member lists have converged.
+func measureColdStart(instances, rate, initialBytes int) float64 {
 	f := newFleet(instances, fleetServices, fleetTargets, rate)
-	f.initialBytes = granted
+	f.initialBytes = initialBytes
 	f.applyRateLimit()
 	var seeds []core.ListedInstance
 	for i := range instances {
--- a/internal/capacity/links.go
+++ b/internal/capacity/links.go
@@ -26,7 +26,8 @@
 	}
 }
 
-// links is a hub with a link manager and others that it sends to.
+// linkNetwork is a set of link managers on loopback addresses: a hub and the
+// peers that it sends to.
 type linkNetwork struct {
 	dir       string
 	ca        *keys.CA
@@ -45,8 +46,8 @@
 	return l
 }
 
-// check panics on an error of the loopback or the temporary directory, without
-// which nothing can be measured.
+// panicOnError panics if err is not nil. It is for errors of the loopback
+// sockets and the temporary directory, without which nothing can be measured.
 func panicOnError(err error) {
 	if err != nil {
 		panic(fmt.Sprint("capacity: ", err))
@@ -84,10 +85,11 @@
 	_ = os.RemoveAll(l.dir)
 }
 
-// await waits until count messages have arrived, at most 10 s.
+// awaitReceived waits until count messages have been received and panics if
+// this takes more than 10 s.
 func (l *linkNetwork) awaitReceived(count int64) {
-	for end := time.Now().Add(10 * time.Second); l.received.Load() < count; time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(10 * time.Second); l.received.Load() < count; time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
 			panic(fmt.Sprintf("capacity: %d of %d peer messages arrived", l.received.Load(), count))
 		}
 	}
@@ -109,7 +111,7 @@
 			hub.Send(instanceName(i), relayMessage())
 		}
 		l.awaitReceived(int64(x))
-		time.Sleep(100 * time.Millisecond) // handshake goroutines end
+		time.Sleep(100 * time.Millisecond) // lets the goroutines of the handshakes end
 		return hub
 	})
 }
@@ -122,12 +124,12 @@
 	hub.Send("peer", relayMessage())
 	l.awaitReceived(1)
 	return leastCPUTime(func() {
-		want := l.received.Load() + int64(x)
+		expected := l.received.Load() + int64(x)
 		for range int(x) {
-			for !hub.Send("peer", relayMessage()) { // the queue is full
+			for !hub.Send("peer", relayMessage()) { // the send queue is full
 				time.Sleep(200 * time.Microsecond)
 			}
 		}
-		l.awaitReceived(want)
+		l.awaitReceived(expected)
 	})
 }
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// Measure is a quantity over the size that it depends on.
+// Measure is a quantity that is measured at several sizes.
 type Measure struct {
-	Name     string // identifies it in the tables
+	Name     string // identifies the measure in the tables
 	Unit     string
-	SizeName string // what the sizes count
-	// Sizes are four or more, so that a curve can be told from a line.
+	SizeName string // what the size counts, such as "open flows"
+	// Sizes has at least four entries, so that a curve can be distinguished from
+	// a line.
 	Sizes []float64
 	Run   func(size float64) float64
-	// Note tells what the quantity includes.
+	// Note describes what the quantity includes.
 	Note string
 }
 
-// Result is the outcome of a measure. Measured is false when the time limit
-// left no time for it.
+// Result holds the points and the fit of a measure. Measured is false if the
+// time limit expired before four sizes were measured.
 type Result struct {
 	*Measure
 	Fit
@@ -26,8 +27,8 @@
 	Elapsed  time.Duration
 }
 
-// RunAll runs the measures until the limit. A measure that has begun is
-// completed up to the size that it has reached.
+// RunAll runs the measures in order. After limit no further size is measured;
+// the size in progress is completed.
 func RunAll(measures []Measure, limit time.Duration) []Result {
 	end := time.Now().Add(limit)
 	results := make([]Result, len(measures))
@@ -52,7 +53,8 @@
 	return results
 }
 
-// All returns the measures, the most important first.
+// All returns the measures in order of importance, since those at the end are
+// skipped when the time limit expires.
 func All() []Measure {
 	var all []Measure
 	for _, group := range [][]Measure{memoryMeasures(), processorMeasures(), linkMeasures(), ownershipMeasures(), fleetMeasures()} {
--- a/internal/capacity/memory.go
+++ b/internal/capacity/memory.go
@@ -40,18 +40,18 @@
 		for i := range int(x) {
 			token := admission.Token{Incarnation: 1, IssuedMS: uint64(epoch / 1e6)}
 			binary.LittleEndian.PutUint64(token.Nonce[:], uint64(i))
-			if e, d := t.Admit(epoch, token, ids.Mix(uint64(i), 1)); d == admission.Admit {
-				t.Finish(e.ID, admission.Answered, response, 0)
+			if entry, decision := t.Admit(epoch, token, ids.Mix(uint64(i), 1)); decision == admission.Admit {
+				t.Finish(entry.ID, admission.Answered, response, 0)
 			}
 		}
 		return t
 	})
 }
 
-func measureNodeMemory(s clusterSize) float64 {
+func measureNodeMemory(size clusterSize) float64 {
 	var n *node
 	used := retainedBytes(func() any {
-		n = newNode(s)
+		n = newNode(size)
 		return n
 	})
 	runtime.KeepAlive(n)
--- a/internal/capacity/node.go
+++ b/internal/capacity/node.go
@@ -16,7 +16,7 @@
 const (
 	epoch         ids.Time = 1_700_000_000_000_000_000
 	tickInterval           = 10 * time.Millisecond
-	eventInterval          = 20 * time.Microsecond // between two events of a node
+	eventInterval          = 20 * time.Microsecond // between two events that a node handles
 )
 
 const profileText = `
@@ -37,7 +37,8 @@
 
 func profileDocument(version int) []byte { return fmt.Appendf(nil, profileText, 8000+version%1000) }
 
-// serviceDocument is service i with targets in data centre dc.
+// serviceDocument returns the configuration document of service i with the
+// given number of targets in data centre dc.
 func serviceDocument(i, targets int, dc ids.DataCentre, version int) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, "port = %d\nprofile = \"standard\"\n", 5000+version%1000)
@@ -52,9 +53,9 @@
 
 func instanceName(i int) ids.Instance { return ids.Instance(fmt.Sprintf("entry-%04d", i)) }
 
-func memberRecord(i int, state peerwire.Lifecycle, counter uint32) peerwire.Member {
+func memberRecord(i int, lifecycle peerwire.Lifecycle, counter uint32) peerwire.Member {
 	return peerwire.Member{ID: instanceName(i), Incarnation: ids.Incarnation(i + 1), Counter: counter,
-		DataCentre: "dc0", PeerAddr: fmt.Sprintf("10.200.%d.%d:7000", i/250, i%250), Lifecycle: state}
+		DataCentre: "dc0", PeerAddr: fmt.Sprintf("10.200.%d.%d:7000", i/250, i%250), Lifecycle: lifecycle}
 }
 
 func newCore(i int) *core.Core {
@@ -67,35 +68,36 @@
 		Linger: time.Second}, keys, 42)
 }
 
-// node is one core among members that serve and agree with it.
+// node is one core whose simulated peers serve and have the same view and
+// configuration.
 type node struct {
 	core         *core.Core
 	now          ids.Time
 	lastTick     ids.Time
 	effects      core.Effects
 	revision     ids.Revision
-	ownedService ids.Service // one of which the node owns a slot
+	ownedService ids.Service // a service of which the node owns a slot
 }
 
-// size of the surroundings of a node. One in dataCentres of the services has
-// its targets in the data centre of the node.
+// clusterSize describes the deployment that a node is part of. One in
+// dataCentres of the services has its targets in the data centre of the node.
 type clusterSize struct{ members, services, targets, dataCentres int }
 
-func newNode(s clusterSize) *node {
+func newNode(size clusterSize) *node {
 	n := &node{core: newCore(0), now: epoch}
 	n.tick()
 	delta := &peerwire.MemberDelta{}
-	for i := 1; i < s.members; i++ {
+	for i := 1; i < size.members; i++ {
 		delta.Members = append(delta.Members, memberRecord(i, peerwire.Serving, 1))
 	}
-	if s.members > 1 {
+	if size.members > 1 {
 		n.handlePeer(&peerwire.Message{From: instanceName(1), Incarnation: 2, MemberDelta: delta})
 	}
 	documents := []core.Publication{{Key: "profile/standard", Revision: 1, Value: profileDocument(0)}}
-	for i := range s.services {
-		dc := ids.DataCentre(fmt.Sprintf("dc%d", i%max(1, s.dataCentres)))
+	for i := range size.services {
+		dc := ids.DataCentre(fmt.Sprintf("dc%d", i%max(1, size.dataCentres)))
 		documents = append(documents, core.Publication{Key: "service/" + string(serviceName(i)), Revision: ids.Revision(i + 2),
-			Value: serviceDocument(i, s.targets, dc, 0)})
+			Value: serviceDocument(i, size.targets, dc, 0)})
 	}
 	n.applyConfig(documents)
 	for range 600 {
@@ -127,14 +129,15 @@
 	n.core.HandlePeer(n.now, &core.PeerEvent{Message: m}, &n.effects)
 }
 
-// tick advances the core and answers as its neighbours and the platform do:
-// with the same view and configuration, so that nothing changes.
+// tick advances the core and sends it the replies of its neighbours and the
+// platform, which have the same view and configuration, so that the state does
+// not change.
 func (n *node) tick() {
 	n.lastTick = n.now
 	n.effects.Reset()
 	n.core.Tick(n.now, &n.effects)
 	var replies []*peerwire.Message
-	read := false
+	configRead := false
 	for i := range n.effects.List {
 		e := &n.effects.List[i]
 		switch {
@@ -143,20 +146,21 @@
 			h.Updates = nil
 			replies = append(replies, &peerwire.Message{From: e.Instance, Heartbeat: &h})
 		case e.Kind == core.WatchConfig && !e.Watch:
-			read = true
+			configRead = true
 		}
 	}
 	for _, m := range replies {
 		n.handlePeer(m)
 	}
-	if read {
+	if configRead {
 		n.effects.Reset()
 		n.core.HandleConfig(n.now, &core.ConfigEvent{Revision: n.revision}, &n.effects)
 	}
 }
 
-// step advances the clock between two events, with the ticks that keep the
-// core from taking the time for a pause.
+// advanceClock advances the clock by eventInterval. It ticks the core at least
+// every 500 ms of virtual time, because the core treats a longer gap between
+// ticks as a pause of the process.
 func (n *node) advanceClock() {
 	n.now = n.now.Add(eventInterval)
 	if n.now.Sub(n.lastTick) > 500*time.Millisecond {
@@ -164,7 +168,7 @@
 	}
 }
 
-// datagram builds a request; observe makes it a registration.
+// newRequest returns a GET request, with the Observe option if observe is true.
 func newRequest(observe bool) *message.Message {
 	o := &message.Outgoing{Type: message.Confirmable, Code: message.GET, ID: 1, Payload: make([]byte, 64),
 		Token: message.Token{Len: 4, Bytes: [8]byte{1, 2, 3, 4}}, SetObserve: observe}
@@ -183,8 +187,9 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 5683)
 }
 
-// exchange sends m from a caller and lets the backend server respond at once.
-// It returns the number of calls of the core.
+// exchange delivers request m from a caller to the core and, if the core sends
+// it to a backend server, delivers the response of that server at once. It
+// returns the number of events that the core handled.
 func (n *node) exchange(m *message.Message, caller ids.Endpoint) int {
 	n.advanceClock()
 	n.effects.Reset()
@@ -204,8 +209,8 @@
 	return 2
 }
 
-// openFeeds registers feeds until the node holds count of them. Callers whose
-// home is another instance are relayed and do not count.
+// openFeeds registers feeds (observe relations) until the node has count of
+// them. Requests that the node relays to another instance do not count.
 func (n *node) openFeeds(count int) {
 	m := newRequest(true)
 	for i, open := 0, 0; open < count; i++ {
--- a/internal/capacity/ownership.go
+++ b/internal/capacity/ownership.go
@@ -6,7 +6,8 @@
 	"arbutusdock.example/arbutusdock/internal/spread"
 )
 
-// Slots of one data centre at the target size: 29,000 targets of 2 slots in 5.
+// Slots of one data centre at the target size: 29,000 targets of 2 slots each,
+// spread over 5 data centres.
 const (
 	localServices = 1450
 	localTargets  = 5800
@@ -23,8 +24,9 @@
 	}
 }
 
-// membershipChange returns the processor time for the loss of lost instances;
-// they join again outside of the measurement.
+// measureMembershipChangeCPU returns the least CPU time, in microseconds, in
+// which an instance handles the loss of a number of instances. They join again
+// outside of the measured time.
 func measureMembershipChangeCPU(instances, lost int) float64 {
 	all := make([]ids.Instance, instances)
 	for i := range all {
--- a/internal/capacity/platform.go
+++ b/internal/capacity/platform.go
@@ -8,9 +8,10 @@
 	"arbutusdock.example/arbutusdock/internal/ids"
 )
 
-var errPlatformDown = errors.New("platform cannot be reached")
+var errPlatformDown = errors.New("platform is unreachable")
 
-// publish replaces a document and answers the watches.
+// publish stores a new version of a document, answers the pending watches unless
+// the platform is down, and returns the new revision.
 func (f *fleet) publish(key string, value []byte) ids.Revision {
 	f.revision++
 	f.documents = slices.DeleteFunc(f.documents, func(d core.Publication) bool { return d.Key == key })
@@ -26,7 +27,8 @@
 	return f.revision
 }
 
-// read handles a read of the platform, or a watch that waits for a change.
+// readConfig handles a read of the configuration. If wait is true it is a watch,
+// which is answered when there is a newer revision or the watch expires.
 func (f *fleet) readConfig(n *fleetNode, after ids.Revision, wait bool) {
 	f.platformReads++
 	if f.platformDown {
@@ -42,6 +44,7 @@
 	f.sendConfig(n, after)
 }
 
+// sendConfig delivers the documents newer than revision after to an instance.
 func (f *fleet) sendConfig(n *fleetNode, after ids.Revision) {
 	e := &core.ConfigEvent{Revision: f.revision}
 	for _, d := range f.documents {
@@ -54,7 +57,7 @@
 	})
 }
 
-// endWatches answers the watches that wait until at or before.
+// expireWatches answers the watches that expire at or before the given time.
 func (f *fleet) expireWatches(at ids.Time) {
 	f.watches = slices.DeleteFunc(f.watches, func(w watch) bool {
 		if w.expires <= at {
--- a/internal/capacity/processor.go
+++ b/internal/capacity/processor.go
@@ -15,38 +15,38 @@
 	"arbutusdock.example/arbutusdock/internal/peerwire"
 )
 
-// target is the size of the surroundings of a node at the target size: the 500
-// instances of one data centre, all services and targets.
+// targetSize is the deployment of a node at the target size: the 500 instances
+// of one data centre, and the services and targets of all data centres.
 var targetSize = clusterSize{members: 500, services: 6800, targets: 4, dataCentres: 5}
 
 func processorMeasures() []Measure {
 	events := []float64{10_000, 20_000, 40_000, 80_000}
-	var shared *node
-	at := func() *node { // one node at the target size serves several measures
-		if shared == nil {
-			shared = newNode(targetSize)
+	var sharedNode *node
+	nodeAtTarget := func() *node { // several measures share one node at the target size
+		if sharedNode == nil {
+			sharedNode = newNode(targetSize)
 		}
-		return shared
+		return sharedNode
 	}
 	return []Measure{
 		{Name: "processor-datagram", Unit: "µs", SizeName: "datagrams", Sizes: events, Run: measureDatagramCPU,
 			Note: "socket read, decode, encode and socket write; both ends of the sockets in this process"},
 		{Name: "processor-decision", Unit: "µs", SizeName: "decisions", Sizes: events, Note: "at the target size",
-			Run: func(x float64) float64 { return measureExchangeCPU(at(), int(x)) }},
+			Run: func(x float64) float64 { return measureExchangeCPU(nodeAtTarget(), int(x)) }},
 		{Name: "processor-heartbeat", Unit: "µs", SizeName: "heartbeats", Sizes: events, Note: "encode, decode and handle, 500 members",
-			Run: func(x float64) float64 { return measureHeartbeatCPU(at(), int(x)) }},
+			Run: func(x float64) float64 { return measureHeartbeatCPU(nodeAtTarget(), int(x)) }},
 		{Name: "processor-health", Unit: "µs", SizeName: "health samples", Sizes: events, Note: "handle one result in the core",
-			Run: func(x float64) float64 { return measureHealthResultCPU(at(), int(x)) }},
+			Run: func(x float64) float64 { return measureHealthResultCPU(nodeAtTarget(), int(x)) }},
 		{Name: "processor-health-http", Unit: "µs", SizeName: "health checks", Sizes: []float64{500, 1000, 2000, 4000}, Run: measureHealthRequestCPU,
 			Note: "one GET over an open connection with net/http, client and server in this process"},
 		{Name: "processor-change", Unit: "µs", SizeName: "configuration changes", Sizes: []float64{250, 500, 1000, 2000},
 			Note: "parse and apply one service of 4 targets among 6,800",
-			Run:  func(x float64) float64 { return measureConfigChangeCPU(at(), int(x)) }},
+			Run:  func(x float64) float64 { return measureConfigChangeCPU(nodeAtTarget(), int(x)) }},
 		{Name: "processor-profile", Unit: "µs", SizeName: "services that use the profile", Sizes: []float64{850, 1700, 3400, 6800},
 			Run: measureProfileChangeCPU, Note: "one change of a profile used by all services; blocks the core once"},
 		{Name: "processor-tick", Unit: "µs", SizeName: "ticks", Sizes: []float64{1000, 2000, 4000, 8000},
 			Note: "at the target size, heartbeats sent and received included",
-			Run:  func(x float64) float64 { return measureTickCPU(at(), int(x)) }},
+			Run:  func(x float64) float64 { return measureTickCPU(nodeAtTarget(), int(x)) }},
 		{Name: "processor-tick-flows", Unit: "µs", SizeName: "open flows", Sizes: []float64{3500, 7000, 14_000, 28_000},
 			Run: func(x float64) float64 {
 				n := newNode(clusterSize{1, 1, 15, 1})
@@ -57,23 +57,23 @@
 }
 
 func measureDatagramCPU(x float64) float64 {
-	loop := net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}
-	a, errA := net.ListenUDP("udp4", &loop)
-	b, errB := net.ListenUDP("udp4", &loop)
-	if errA != nil || errB != nil {
-		panic(fmt.Sprint("capacity: open loopback sockets: ", errA, errB))
+	loopback := net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}
+	sender, senderErr := net.ListenUDP("udp4", &loopback)
+	receiver, receiverErr := net.ListenUDP("udp4", &loopback)
+	if senderErr != nil || receiverErr != nil {
+		panic(fmt.Sprint("capacity: open loopback sockets: ", senderErr, receiverErr))
 	}
-	defer a.Close()
-	defer b.Close()
-	to := b.LocalAddr().(*net.UDPAddr).AddrPort()
+	defer sender.Close()
+	defer receiver.Close()
+	to := receiver.LocalAddr().(*net.UDPAddr).AddrPort()
 	raw, buffer, out := newRequest(false).Raw, make([]byte, 2048), make([]byte, 0, 2048)
 	var m message.Message
 	return leastCPUTime(func() {
 		for range int(x) {
-			if _, err := a.WriteToUDPAddrPort(raw, to); err != nil {
+			if _, err := sender.WriteToUDPAddrPort(raw, to); err != nil {
 				panic(err)
 			}
-			n, _, err := b.ReadFromUDPAddrPort(buffer)
+			n, _, err := receiver.ReadFromUDPAddrPort(buffer)
 			if err == nil {
 				err = message.Decode(buffer[:n], &m)
 			}
@@ -100,17 +100,17 @@
 
 func measureHeartbeatCPU(n *node, count int) float64 {
 	n.tick()
-	var h *peerwire.Message
-	for h == nil { // a heartbeat of the node, as one of a peer that agrees with it
+	var heartbeat *peerwire.Message
+	for heartbeat == nil { // reuses a heartbeat of the node as that of a peer with the same view
 		n.now = n.now.Add(tickInterval)
 		n.effects.Reset()
 		n.core.Tick(n.now, &n.effects)
 		n.lastTick = n.now
 		for i := range n.effects.List {
 			if e := &n.effects.List[i]; e.Kind == core.ToPeer && e.PeerMessage.Heartbeat != nil {
-				copied := *e.PeerMessage.Heartbeat
-				copied.Updates = nil
-				h = &peerwire.Message{From: e.Instance, Heartbeat: &copied}
+				payload := *e.PeerMessage.Heartbeat
+				payload.Updates = nil
+				heartbeat = &peerwire.Message{From: e.Instance, Heartbeat: &payload}
 			}
 		}
 	}
@@ -118,8 +118,8 @@
 	return leastCPUTime(func() {
 		for range count {
 			n.advanceClock()
-			h.Heartbeat.Clock = n.now
-			raw, _ = peerwire.Encode(raw[:0], h)
+			heartbeat.Heartbeat.Clock = n.now
+			raw, _ = peerwire.Encode(raw[:0], heartbeat)
 			var got peerwire.Message
 			if err := peerwire.Decode(raw, &got); err != nil {
 				panic(err)
--- a/internal/capacity/usage.go
+++ b/internal/capacity/usage.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// repeats of a processor time; the least counts, since waits for caches shared
-// with other processes only add to it.
+// cpuTimeRuns is the number of runs of which the least CPU time is used, since
+// contention for caches shared with other processes only adds to the CPU time.
 const cpuTimeRuns = 5
 
-// processorTime returns the user and system time of this process. Unlike the
-// elapsed time it does not include waits for a core.
+// processCPUTime returns the user and system time of this process. Unlike the
+// elapsed time it does not include the time spent waiting for a CPU.
 func processCPUTime() time.Duration {
-	var u syscall.Rusage
-	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
-		panic(err) // the argument is a constant that Linux knows
+	var usage syscall.Rusage
+	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
+		panic(err) // cannot fail: RUSAGE_SELF is valid
 	}
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// processor returns the least processor time, in microseconds, of several runs.
+// leastCPUTime returns the least CPU time, in microseconds, of cpuTimeRuns runs.
 func leastCPUTime(run func()) float64 {
 	least := time.Duration(1<<63 - 1)
 	for range cpuTimeRuns {
-		runtime.GC() // so that no run pays for the garbage of the one before
+		runtime.GC() // so that a run does not collect the garbage of the previous one
 		start := processCPUTime()
 		run()
 		least = min(least, processCPUTime()-start)
@@ -32,25 +32,25 @@
 	return float64(least.Nanoseconds()) / 1e3
 }
 
-// retained returns the heap and stack bytes that build leaves in use. The
-// result of build keeps them reachable.
+// retainedBytes returns the heap and stack bytes that are still in use after
+// build. The result of build must keep them reachable.
 func retainedBytes(build func() any) float64 {
 	before := bytesInUse()
-	kept := build()
+	built := build()
 	used := bytesInUse() - before
-	runtime.KeepAlive(kept)
+	runtime.KeepAlive(built)
 	return float64(used)
 }
 
 func bytesInUse() int64 {
 	runtime.GC()
-	runtime.GC() // the first one may leave finalizers and pools behind
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	return int64(m.HeapAlloc + m.StackInuse)
+	runtime.GC() // the first run may leave objects with finalizers and in pools
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	return int64(stats.HeapAlloc + stats.StackInuse)
 }
 
-// processorOnce returns the processor time of one run in microseconds.
+// cpuTimeOnce returns the CPU time of one run in microseconds.
 func cpuTimeOnce(run func()) float64 {
 	start := processCPUTime()
 	run()
--- a/internal/capacity/write.go
+++ b/internal/capacity/write.go
@@ -11,9 +11,9 @@
 	"github.com/rotisserie/eris"
 )
 
-// WriteCSV writes every measured point and the fit of its curve.
+// WriteCSV writes every measured point with the fit of its measure as CSV.
 func WriteCSV(w io.Writer, results []Result) error {
-	c := csv.NewWriter(w)
+	writer := csv.NewWriter(w)
 	rows := [][]string{{"measure", "unit", "over", "size", "value", "intercept", "slope", "slope_stderr", "r2", "shape"}}
 	for i := range results {
 		r := &results[i]
@@ -25,12 +25,13 @@
 			rows = append(rows, append(row, r.shapeText()))
 		}
 	}
-	return c.WriteAll(rows)
+	return writer.WriteAll(rows)
 }
 
-// ReadCSV returns the results that WriteCSV wrote, for the figures at the target.
-func ReadCSV(from io.Reader) ([]Result, error) {
-	rows, err := csv.NewReader(from).ReadAll()
+// ReadCSV reads the output of WriteCSV and fits the points again, so that the
+// figures at the target size can be computed without measuring.
+func ReadCSV(r io.Reader) ([]Result, error) {
+	rows, err := csv.NewReader(r).ReadAll()
 	if err != nil {
 		return nil, eris.Wrap(err, "read slopes")
 	}
@@ -39,13 +40,13 @@
 		x, errX := strconv.ParseFloat(row[3], 64)
 		y, errY := strconv.ParseFloat(row[4], 64)
 		if errX != nil || errY != nil {
-			return nil, eris.Errorf("read slopes: %s: size %q, value %q, must be numbers", row[0], row[3], row[4])
+			return nil, eris.Errorf("read slopes: %s: size %q and value %q must be numbers", row[0], row[3], row[4])
 		}
 		if n := len(results); n == 0 || results[n-1].Name != row[0] {
 			results = append(results, Result{Measure: &Measure{Name: row[0], Unit: row[1], SizeName: row[2]}})
 		}
-		r := &results[len(results)-1]
-		r.Points = append(r.Points, Point{x, y})
+		result := &results[len(results)-1]
+		result.Points = append(result.Points, Point{x, y})
 	}
 	for i := range results {
 		if r := &results[i]; len(r.Points) >= 4 {
@@ -87,7 +88,8 @@
 	return err
 }
 
-// short prints three digits, without an exponent for usual sizes.
+// formatShort formats v with three significant digits or as a whole number,
+// without an exponent unless v is very small.
 func formatShort(v float64) string {
 	switch a := math.Abs(v); {
 	case math.IsNaN(v):
