--- a/internal/passthrough/target.go
+++ b/internal/passthrough/target.go
@@ -37,7 +37,7 @@
 	retransmits      int      // packets with retransmitted data since lastAlive
 	// retryAt is the time from which a suspected target may get a flow again.
 	retryAt   ids.Time
-	retries   int // flows placed on it while suspected, and suspicions, since lastAlive
+	retries   int // number of calls of scheduleRetry since lastAlive
 	lastAlive ids.Time
 
 	activeRequests int // active requests from this instance
@@ -218,9 +218,9 @@
 // inOtherRegion reports whether a data centre is known to be in another region than
 // this instance.
 func (tt *targetTable) inOtherRegion(dc ids.DataCentre) bool {
-	own, known := tt.regions[string(tt.dataCentre)]
-	other, also := tt.regions[string(dc)]
-	return known && also && own != other
+	own, ownKnown := tt.regions[string(tt.dataCentre)]
+	other, otherKnown := tt.regions[string(dc)]
+	return ownKnown && otherKnown && own != other
 }
 
 // updatePool adds t to the pool of its service if it is usable, and removes it
