--- a/cmd/experiment/main.go
+++ b/cmd/experiment/main.go
@@ -74,12 +74,12 @@
 	return eris.Wrap(r.SavePlot(base+".svg"), "write plot")
 }
 
-func writeFile(path string, to func(io.Writer) error) error {
+func writeFile(path string, encode func(io.Writer) error) error {
 	f, err := os.Create(path)
 	if err != nil {
-		return eris.Wrap(err, "create table")
+		return eris.Wrap(err, "create output file")
 	}
-	if err := to(f); err != nil {
+	if err := encode(f); err != nil {
 		f.Close()
 		return eris.Wrapf(err, "write %s", path)
 	}
--- a/internal/experiment/backend.go
+++ b/internal/experiment/backend.go
@@ -10,12 +10,12 @@
 	"arbutusdock.example/arbutusdock/internal/spread"
 )
 
-// backendQueue is the number of requests that a backend server queues before
-// it sheds load.
+// backendQueue is the queue length at which a backend server sheds further
+// requests.
 const backendQueue = 16
 
-// backend is a backend server: slots, a short queue, and a health endpoint
-// that may lie.
+// backend models a backend server with slots, a short queue, and a health
+// endpoint that may report a false state.
 type backend struct {
 	sim          *sim
 	index        int
@@ -23,22 +23,23 @@
 	running      int
 	queue        []*job
 	dead         bool // does not respond to requests
-	falseHealth  bool // the health endpoint reports the opposite
-	coldRequests int  // requests that still run slowly after a cold start
+	falseHealth  bool // the health endpoint reports the opposite of the real state
+	coldRequests int  // remaining requests that run slowly after a cold start
 
-	busyTime    time.Duration // slot time used since the last reset
-	accountedAt ids.Time      // of the last change of running
+	busyTime    time.Duration // slot time used since the last call of resetBusyTime
+	accountedAt ids.Time      // time up to which busyTime is complete
 }
 
-// job is one request at a backend server.
+// job is the processing of one request by a backend server.
 type job struct {
 	runTime   time.Duration
 	expires   ids.Time
-	ended     bool // cancelled, or ended
+	ended     bool // completed, shed or cancelled
 	onOutcome func(spread.Outcome)
 }
 
-// coldFactor is how much longer a request runs on a cold backend server.
+// coldSlowdown is the factor by which a request runs longer on a cold backend
+// server.
 const coldSlowdown = 3
 
 func newBackend(s *sim, seed uint64, index int) *backend {
@@ -49,17 +50,19 @@
 	}}
 }
 
-// healthy is what the health endpoint reports.
+// reportedHealth is the state that the health endpoint reports.
 func (b *backend) reportedHealth() bool { return b.dead == b.falseHealth }
 
-// account adds the slot time since the last change.
+// updateBusyTime adds the slot time used since the previous call. It must be
+// called before running changes.
 func (b *backend) updateBusyTime() {
 	b.busyTime += time.Duration(b.running) * b.sim.now.Sub(b.accountedAt)
 	b.accountedAt = b.sim.now
 }
 
-// accept takes a job that has arrived. done is called with the outcome, unless
-// the backend server is dead or the job is cancelled.
+// accept handles a job that has arrived: it starts, queues or sheds it.
+// j.onOutcome is called with the outcome, unless the backend server is dead or
+// the job is cancelled.
 func (b *backend) accept(j *job) {
 	switch {
 	case b.dead || j.ended:
@@ -76,12 +79,12 @@
 func (b *backend) start(j *job) {
 	b.updateBusyTime()
 	b.running++
-	run := j.runTime
+	runTime := j.runTime
 	if b.coldRequests > 0 {
 		b.coldRequests--
-		run *= coldSlowdown
+		runTime *= coldSlowdown
 	}
-	b.sim.after(run, func() {
+	b.sim.after(runTime, func() {
 		b.updateBusyTime()
 		b.running--
 		if !j.ended && !b.dead {
@@ -92,7 +95,8 @@
 	})
 }
 
-// next starts the first queued job that has neither been cancelled nor expired.
+// startQueued fills the free slots with queued jobs that have neither been
+// cancelled nor expired.
 func (b *backend) startQueued() {
 	for b.running < b.target.Slots && len(b.queue) > 0 && !b.dead {
 		j := b.queue[0]
--- a/internal/experiment/baseline.go
+++ b/internal/experiment/baseline.go
@@ -8,57 +8,59 @@
 	"arbutusdock.example/arbutusdock/internal/spread"
 )
 
-// pick chooses one of the backend servers that a baseline believes healthy.
-type backendPicker func(n *baseline, usable []*backend) *backend
+// backendPicker selects one of the candidates. These are the backend servers
+// that are not marked down, or all if there is none.
+type backendPicker func(n *baseline, candidates []*backend) *backend
 
-// baseline is an instance that sends each request at once to a backend server
-// that any instance may use. It queues nothing: the backend servers do, and
+// baseline is a policy in which every instance uses all backend servers and
+// sends each request on at once. Requests queue at the backend servers, which
 // shed load when their queues are full.
 type baseline struct {
 	cluster         *cluster
 	self            *instance
 	pick            backendPicker
 	nextBackend     int
-	outstanding     []int
-	failedChecks    []int // consecutive failed checks
-	markedDown      []bool
-	ticksSinceCheck int // ticks since the last health check
+	outstanding     []int  // requests at each backend server
+	failedChecks    []int  // consecutive failed health checks, by backend server
+	markedDown      []bool // by backend server
+	ticksSinceCheck int    // ticks since the last round of health checks
 }
 
 const (
-	// baselineRetryAfter is the fixed time to come back of a refusal.
+	// baselineRetryAfter is the retry-after time of every refusal.
 	baselineRetryAfter = time.Second
 	ticksPerCheck      = int(time.Second / tickInterval)
 )
 
-func newBaseline(p backendPicker) nodeFactory {
+func newBaseline(pick backendPicker) nodeFactory {
 	return func(c *cluster, self *instance) node {
-		return &baseline{cluster: c, self: self, pick: p, nextBackend: c.rng.IntN(len(c.backends)), ticksSinceCheck: c.rng.IntN(ticksPerCheck),
+		return &baseline{cluster: c, self: self, pick: pick, nextBackend: c.rng.IntN(len(c.backends)), ticksSinceCheck: c.rng.IntN(ticksPerCheck),
 			outstanding: make([]int, len(c.backends)), failedChecks: make([]int, len(c.backends)), markedDown: make([]bool, len(c.backends))}
 	}
 }
 
 func (n *baseline) handleRequest(r *request) { n.send(r, nil) }
 
-// try sends r to a backend server other than avoid.
-func (n *baseline) send(r *request, avoid *backend) {
-	var usable []*backend
+// send sends r to a backend server other than exclude. A request that is shed is
+// tried once at a second backend server, then refused.
+func (n *baseline) send(r *request, exclude *backend) {
+	var candidates []*backend
 	for _, b := range n.cluster.backends {
-		if !n.markedDown[b.index] && b != avoid {
-			usable = append(usable, b)
+		if !n.markedDown[b.index] && b != exclude {
+			candidates = append(candidates, b)
 		}
 	}
-	if len(usable) == 0 {
-		usable = n.cluster.backends
+	if len(candidates) == 0 {
+		candidates = n.cluster.backends
 	}
-	b := n.pick(n, usable)
+	b := n.pick(n, candidates)
 	n.outstanding[b.index]++
 	n.cluster.dispatch(n.self, b, r, n.cluster.expiry(r), func(o spread.Outcome) {
 		n.outstanding[b.index]--
 		switch {
 		case o == spread.Success:
 			n.cluster.deliverResponse(r, served, 0)
-		case o == spread.Shed && avoid == nil:
+		case o == spread.Shed && exclude == nil:
 			n.send(r, b)
 		case o == spread.Shed:
 			n.cluster.deliverResponse(r, refused, baselineRetryAfter)
@@ -92,58 +94,63 @@
 	}
 }
 
-func pickRandom(n *baseline, usable []*backend) *backend {
-	return usable[n.cluster.rng.IntN(len(usable))]
+func pickRandom(n *baseline, candidates []*backend) *backend {
+	return candidates[n.cluster.rng.IntN(len(candidates))]
 }
 
-func pickRoundRobin(n *baseline, usable []*backend) *backend {
+func pickRoundRobin(n *baseline, candidates []*backend) *backend {
 	n.nextBackend++
-	return usable[n.nextBackend%len(usable)]
+	return candidates[n.nextBackend%len(candidates)]
 }
 
-// pickLeastOutstanding chooses the backend server with the fewest requests of
-// this instance, starting at a random one.
-func pickLeastOutstanding(n *baseline, usable []*backend) *backend {
-	start := n.cluster.rng.IntN(len(usable))
-	best := usable[start]
-	for i := range usable {
-		if b := usable[(start+i)%len(usable)]; n.outstanding[b.index] < n.outstanding[best.index] {
+// pickLeastOutstanding selects the backend server with the fewest outstanding
+// requests of this instance. The search starts at a random one to break ties.
+func pickLeastOutstanding(n *baseline, candidates []*backend) *backend {
+	start := n.cluster.rng.IntN(len(candidates))
+	best := candidates[start]
+	for i := range candidates {
+		if b := candidates[(start+i)%len(candidates)]; n.outstanding[b.index] < n.outstanding[best.index] {
 			best = b
 		}
 	}
 	return best
 }
 
-// loadAge is the age of the load that the power of two choices compares.
+// loadReportAge is the age of the load reports that the power-of-two-choices
+// policy compares.
 const loadReportAge = 50 * time.Millisecond
 
-// loads keeps the recent load of all backend servers, as it would be known
-// from piggybacked reports.
+// loadHistory holds the recent load of all backend servers, as instances would
+// receive it in piggybacked reports.
 type loadHistory struct {
-	samples [][]int // oldest first
+	samples [][]int // load by backend server, oldest sample first
 }
 
-// pickTwoChoices compares the reported load of two random backend servers.
-func pickTwoChoices(l *loadHistory) backendPicker {
-	return func(n *baseline, usable []*backend) *backend {
-		a, b := usable[n.cluster.rng.IntN(len(usable))], usable[n.cluster.rng.IntN(len(usable))]
-		old := l.delayed(n.cluster)
-		if old[b.index]+n.outstanding[b.index] < old[a.index]+n.outstanding[a.index] {
+// pickTwoChoices returns a picker that selects the less loaded of two random
+// backend servers. It compares the reported load plus the outstanding requests
+// of the instance.
+func pickTwoChoices(loads *loadHistory) backendPicker {
+	return func(n *baseline, candidates []*backend) *backend {
+		a, b := candidates[n.cluster.rng.IntN(len(candidates))], candidates[n.cluster.rng.IntN(len(candidates))]
+		reported := loads.delayed(n.cluster)
+		if reported[b.index]+n.outstanding[b.index] < reported[a.index]+n.outstanding[a.index] {
 			return b
 		}
 		return a
 	}
 }
 
+// delayed returns the oldest sample, which is loadReportAge old once the history
+// is full. The first call starts the recording.
 func (l *loadHistory) delayed(c *cluster) []int {
 	if len(l.samples) == 0 {
 		var record func()
 		record = func() {
-			now := make([]int, len(c.backends))
+			sample := make([]int, len(c.backends))
 			for i, b := range c.backends {
-				now[i] = b.running + len(b.queue)
+				sample[i] = b.running + len(b.queue)
 			}
-			l.samples = append(l.samples, now)
+			l.samples = append(l.samples, sample)
 			if len(l.samples) > int(loadReportAge/tickInterval)+1 {
 				l.samples = l.samples[1:]
 			}
--- a/internal/experiment/caller.go
+++ b/internal/experiment/caller.go
@@ -6,16 +6,16 @@
 	"arbutusdock.example/arbutusdock/internal/ids"
 )
 
-// Times of a caller, RFC 7252 section 4.8.
+// Transmission parameters of a caller, RFC 7252 section 4.8.
 const (
 	ackTimeout      = 2 * time.Second
 	ackRandomFactor = 1.5
 	maxRetransmit   = 4
-	ackDelay        = 1500 * time.Millisecond // an instance acknowledges a request that takes longer
-	callerTimeout   = 4 * time.Second         // wait for the response after the acknowledgement, beyond the deadline
+	ackDelay        = 1500 * time.Millisecond // a request that takes longer is acknowledged separately
+	callerTimeout   = 4 * time.Second         // how long a caller waits for a separate response after the deadline
 )
 
-// issue starts a new request of m.
+// sendRequest creates a request of m and sends it for the first time.
 func (c *cluster) sendRequest(m *trafficMix) {
 	r := m.newRequest(c.sim, callerCount)
 	r.firstSent = c.now
@@ -23,7 +23,8 @@
 	c.startAttempt(r)
 }
 
-// attempt transmits r for the first time or after a refusal.
+// startAttempt begins an attempt: the first transmission of r, or the one after
+// a refusal.
 func (c *cluster) startAttempt(r *request) {
 	r.attempts++
 	r.retransmissions = 0
@@ -34,33 +35,33 @@
 	c.transmit(r, r.attempts, c.between(ackTimeout, time.Duration(float64(ackTimeout)*ackRandomFactor)))
 }
 
-// transmit sends r to a random instance and repeats it with doubled time-out
-// until it is acknowledged.
-func (c *cluster) transmit(r *request, try int, timeout time.Duration) {
-	in := c.randomInstance()
+// transmit sends r to a random instance and retransmits it with doubled timeout
+// until it is acknowledged. It does nothing more once a later attempt started.
+func (c *cluster) transmit(r *request, attempt int, timeout time.Duration) {
+	receiver := c.randomInstance()
 	c.after(callerDelay, func() {
-		if in.dead {
+		if receiver.dead {
 			return
 		}
-		r.receiver = in
-		in.node.handleRequest(r)
-		if _, ok := in.node.(*coreNode); ok {
-			return // it sends the acknowledgement itself
+		r.currentInstance = receiver
+		receiver.node.handleRequest(r)
+		if _, ok := receiver.node.(*coreNode); ok {
+			return // a coreNode sends the acknowledgement itself
 		}
 		c.after(ackDelay, func() {
-			if !r.receiver.dead && !r.settled && r.attempts == try {
+			if !r.currentInstance.dead && !r.settled && r.attempts == attempt {
 				c.after(callerDelay, func() { r.acked = true })
 			}
 		})
 	})
 	c.after(timeout, func() {
-		if r.settled || r.retryPending || r.attempts != try {
+		if r.settled || r.retryPending || r.attempts != attempt {
 			return
 		}
 		if r.acked || r.retransmissions >= maxRetransmit {
-			// The response is separate; it is lost if the instance has died.
+			// Waits for a separate response, which is lost if the instance has died.
 			c.after(c.expiry(r).Sub(r.attemptStart)+callerTimeout-timeout, func() {
-				if !r.settled && !r.retryPending && r.attempts == try {
+				if !r.settled && !r.retryPending && r.attempts == attempt {
 					c.settle(r, failed)
 				}
 			})
@@ -68,34 +69,35 @@
 		}
 		r.retransmissions++
 		c.stats.recordTransmission(r)
-		c.transmit(r, try, 2*timeout)
+		c.transmit(r, attempt, 2*timeout)
 	})
 }
 
-// challenge delivers an admission token, with which the caller repeats r.
+// deliverChallenge delivers an admission token (Echo option) to the caller of r,
+// who sends r again with it.
 func (c *cluster) deliverChallenge(r *request, echo []byte) {
-	try := r.attempts
+	attempt := r.attempts
 	c.after(callerDelay, func() {
-		if r.settled || r.retryPending || r.attempts != try {
+		if r.settled || r.retryPending || r.attempts != attempt {
 			return
 		}
 		r.echo = echo
 		r.retransmissions = 0
-		c.transmit(r, try, c.between(ackTimeout, time.Duration(float64(ackTimeout)*ackRandomFactor)))
+		c.transmit(r, attempt, c.between(ackTimeout, time.Duration(float64(ackTimeout)*ackRandomFactor)))
 	})
 }
 
-// respond delivers an answer to the caller of r. retryAfter is the time to
-// come back of a refusal.
-func (c *cluster) deliverResponse(r *request, a callerResult, retryAfter time.Duration) {
-	try := r.attempts
+// deliverResponse delivers a response to the caller of r. retryAfter is the time
+// after which the caller of a refused request tries again.
+func (c *cluster) deliverResponse(r *request, result callerResult, retryAfter time.Duration) {
+	attempt := r.attempts
 	c.after(callerDelay, func() {
-		if r.settled || r.retryPending || r.attempts != try {
+		if r.settled || r.retryPending || r.attempts != attempt {
 			c.stats.duplicates++
 			return
 		}
-		if a != refused {
-			c.settle(r, a)
+		if result != refused {
+			c.settle(r, result)
 			return
 		}
 		c.stats.recordRefusal(r, retryAfter)
@@ -108,15 +110,16 @@
 	})
 }
 
-func (c *cluster) settle(r *request, a callerResult) {
+// settle ends r with its final result.
+func (c *cluster) settle(r *request, result callerResult) {
 	r.settled = true
 	if r.messageID != 0 {
 		c.after(longDeadline, func() { delete(c.byToken, r.coapToken()) })
 	}
-	c.stats.recordSettled(r, a)
+	c.stats.recordSettled(r, result)
 }
 
-// expiry returns the time at which an instance gives up on the current attempt.
+// expiry returns the deadline of an instance for the current attempt of r.
 func (c *cluster) expiry(r *request) ids.Time {
-	return r.attemptStart.Add(callerDelay + c.resolved.Profile.Protect.Deadline)
+	return r.attemptStart.Add(callerDelay + c.config.Profile.Protect.Deadline)
 }
--- a/internal/experiment/cluster.go
+++ b/internal/experiment/cluster.go
@@ -11,7 +11,7 @@
 )
 
 // Sizes and delays of the model: one data centre of the Board's counter
-// service, design page section 1.4.
+// service, section 1.4 of the design page.
 const (
 	dataCentre      = ids.DataCentre("dc1")
 	serviceName     = ids.Service("counter")
@@ -24,39 +24,40 @@
 	callerDelay   = 3 * time.Millisecond    // one way, caller to instance
 	peerDelay     = 250 * time.Microsecond  // one way, instance to instance
 	backendDelay  = 250 * time.Microsecond  // one way, instance to backend server
-	tickInterval  = 10 * time.Millisecond   // of the instances
-	fabricDelay   = 500 * time.Millisecond  // until the fabric avoids a dead instance
-	suspectDelay  = 1000 * time.Millisecond // until peers have noticed a dead instance
-	suspectJitter = 200 * time.Millisecond  // spread of that time over the peers
-	deadline      = 2 * time.Second         // of a request, from arrival
+	tickInterval  = 10 * time.Millisecond   // between the ticks of an instance
+	fabricDelay   = 500 * time.Millisecond  // until the network fabric stops routing to a dead instance
+	suspectDelay  = 1000 * time.Millisecond // until the first peer removes a dead instance from its list
+	suspectJitter = 200 * time.Millisecond  // variation of that time between the peers
+	deadline      = 2 * time.Second         // of a request, from its arrival at an instance
 	longDeadline  = 20 * time.Second        // of a service with long requests
 )
 
-// answer is what a caller receives.
+// callerResult is the result of an attempt for the caller.
 type callerResult uint8
 
 const (
 	served  callerResult = iota
-	refused              // 5.03 with a time to come back
-	failed               // 5.04 or 5.00
+	refused              // response 5.03 with a retry-after time
+	failed               // response 5.04 or 5.00, or none
 )
 
-// node is the policy of one instance.
+// node is the scheduling policy of one instance.
 type node interface {
-	// arrive takes a request that came from its caller.
+	// handleRequest handles a request that arrives from its caller.
 	handleRequest(r *request)
-	// peer takes a message that another instance sent with cluster.send.
+	// handlePeer handles a message that another instance sent with
+	// cluster.sendData or cluster.sendPeer.
 	handlePeer(m any)
-	// health takes the result of a health check.
+	// handleHealth handles the result of a health check.
 	handleHealth(t *backend, healthy bool)
-	// instances takes the list of serving instances as seen now.
+	// setInstances replaces the list of serving instances.
 	setInstances(now ids.Time, serving []ids.Instance)
-	// profile takes a new profile into use.
+	// setProfile applies a new configuration.
 	setProfile(r *config.Resolved)
 	tick()
 }
 
-// instance is an entry instance of the model.
+// instance is a load balancer instance of the model.
 type instance struct {
 	index int
 	id    ids.Instance
@@ -64,41 +65,43 @@
 	node  node
 }
 
-// cluster is one run of the model.
+// cluster holds the state of one run of the model.
 type cluster struct {
 	*sim
 	instances   []*instance
 	backends    []*backend
-	routable    []*instance // instances that the fabric uses
-	resolved    *config.Resolved
+	routable    []*instance // instances that the network fabric routes to
+	config      *config.Resolved
 	stats       *stats
-	maxAttempts int // attempts of a caller, the first included
+	maxAttempts int // attempts of a caller, including the first
 
-	// Used with the core only.
+	// The fields below are used by coreNode only.
 	platform      *platform
-	cutLinks      map[[2]*instance]bool // links that are down, by direction
+	cutLinks      map[[2]*instance]bool // links that are down; the key is sender and receiver
 	byToken       map[message.Token]*request
 	byMessage     map[uint16]*request
 	lastSerial    uint32
 	lastMessageID uint16
 }
 
-// maker builds the policy of an instance.
+// nodeFactory creates the policy of an instance.
 type nodeFactory func(c *cluster, self *instance) node
 
-// newCluster returns a running cluster of the counter service.
-func newCluster(seed uint64, r *config.Resolved, build nodeFactory) *cluster {
-	return newClusterWithBackends(seed, r, build, backendCount)
+// newCluster returns a running cluster of the counter service with backendCount
+// backend servers.
+func newCluster(seed uint64, r *config.Resolved, newNode nodeFactory) *cluster {
+	return newClusterWithBackends(seed, r, newNode, backendCount)
 }
 
-// newClusterOf returns a running cluster with a number of backend servers.
-func newClusterWithBackends(seed uint64, r *config.Resolved, build nodeFactory, targets int) *cluster {
-	c := &cluster{sim: newSim(seed), resolved: r, maxAttempts: 4, cutLinks: make(map[[2]*instance]bool),
+// newClusterWithBackends returns a running cluster with the given number of
+// backend servers.
+func newClusterWithBackends(seed uint64, r *config.Resolved, newNode nodeFactory, backends int) *cluster {
+	c := &cluster{sim: newSim(seed), config: r, maxAttempts: 4, cutLinks: make(map[[2]*instance]bool),
 		byToken: make(map[message.Token]*request), byMessage: make(map[uint16]*request)}
 	c.platform = &platform{cluster: c}
 	c.stats = newStats(c)
-	for i := range targets {
-		// The names differ from seed to seed, and with them the ownership.
+	for i := range backends {
+		// The names contain the seed, so that slot ownership differs between seeds.
 		b := newBackend(c.sim, seed, i)
 		c.backends = append(c.backends, b)
 		r.Service.Targets = append(r.Service.Targets, b.target)
@@ -107,19 +110,19 @@
 		c.instances = append(c.instances, &instance{index: i, id: ids.Instance(fmt.Sprintf("instance-%d-%d", seed, i))})
 	}
 	c.routable = append(c.routable, c.instances...)
-	for _, in := range c.instances {
-		in.node = build(c, in)
+	for _, inst := range c.instances {
+		inst.node = newNode(c, inst)
 	}
-	for _, in := range c.instances {
-		in.node.setProfile(r)
-		in.node.setInstances(c.now, c.serving(nil))
+	for _, inst := range c.instances {
+		inst.node.setProfile(r)
+		inst.node.setInstances(c.now, c.serving(nil))
 	}
-	for i, in := range c.instances {
-		// Instances tick out of step with each other.
+	for i, inst := range c.instances {
+		// The ticks of the instances are spread over the interval.
 		c.after(time.Duration(i)*tickInterval/instanceCount, func() {
 			c.every(tickInterval, func() {
-				if !in.dead {
-					in.node.tick()
+				if !inst.dead {
+					inst.node.tick()
 				}
 			})
 		})
@@ -129,21 +132,22 @@
 	return c
 }
 
-// serving returns the ids of the live instances without those in without.
-func (c *cluster) serving(without map[ids.Instance]bool) []ids.Instance {
+// serving returns the ids of the live instances except those in excluded.
+func (c *cluster) serving(excluded map[ids.Instance]bool) []ids.Instance {
 	var list []ids.Instance
-	for _, in := range c.instances {
-		if !in.dead && !without[in.id] {
-			list = append(list, in.id)
+	for _, inst := range c.instances {
+		if !inst.dead && !excluded[inst.id] {
+			list = append(list, inst.id)
 		}
 	}
 	return list
 }
 
-// send delivers m to another instance after the relay delay.
+// sendData delivers data message m to another instance after the peer delay.
 func (c *cluster) sendData(to *instance, m any) { c.sendPeer(to, m, true) }
 
-// sendCounted delivers m; only data messages count as relayed traffic.
+// sendPeer delivers m to another instance after the peer delay. Only data
+// messages are counted as relays.
 func (c *cluster) sendPeer(to *instance, m any, data bool) {
 	if data {
 		c.stats.relays++
@@ -155,28 +159,28 @@
 	})
 }
 
-// dispatch sends r to b. done is called when the outcome is back, or with
-// Timeout once the deadline has passed. The result cancels the request.
+// dispatch sends r to b. done is called with the outcome when it arrives, or with
+// Timeout at expires. The returned function cancels the request.
 func (c *cluster) dispatch(from *instance, b *backend, r *request, expires ids.Time, done func(spread.Outcome)) (cancel func()) {
 	r.dispatches++
-	ended := false
-	end := func(o spread.Outcome) {
-		if !ended && !from.dead {
-			ended = true
+	finished := false
+	finish := func(o spread.Outcome) {
+		if !finished && !from.dead {
+			finished = true
 			done(o)
 		}
 	}
 	j := &job{runTime: r.runTime, expires: expires}
-	j.onOutcome = func(o spread.Outcome) { c.after(backendDelay, func() { end(o) }) }
+	j.onOutcome = func(o spread.Outcome) { c.after(backendDelay, func() { finish(o) }) }
 	c.after(backendDelay, func() { b.accept(j) })
 	c.at(expires, func() {
 		j.ended = true
-		end(spread.Timeout)
+		finish(spread.Timeout)
 	})
-	return func() { ended, j.ended = true, true }
+	return func() { finished, j.ended = true, true }
 }
 
-// check performs a health check for an instance.
+// checkHealth performs a health check of b for an instance.
 func (c *cluster) checkHealth(from *instance, b *backend) {
 	c.stats.checks++
 	c.after(2*backendDelay, func() {
@@ -186,29 +190,29 @@
 	})
 }
 
-// kill ends an instance. Datagrams of callers still reach its address until
-// the fabric avoids it, and its peers learn of its end later still.
-func (c *cluster) kill(in *instance) {
-	in.dead = true
+// kill stops an instance. The network fabric routes datagrams of callers to it
+// for another fabricDelay, and its peers remove it from their lists even later.
+func (c *cluster) kill(inst *instance) {
+	inst.dead = true
 	c.after(fabricDelay, func() {
-		for i, s := range c.routable {
-			if s == in {
+		for i, candidate := range c.routable {
+			if candidate == inst {
 				c.routable = append(c.routable[:i:i], c.routable[i+1:]...)
 				return
 			}
 		}
 	})
 	for _, other := range c.instances {
-		if other != in {
+		if other != inst {
 			c.after(suspectDelay+c.between(0, suspectJitter), func() { other.node.setInstances(c.now, c.serving(nil)) })
 		}
 	}
 }
 
-// spray returns an instance at random, as the fabric does.
+// randomInstance returns a random instance, as the network fabric routes.
 func (c *cluster) randomInstance() *instance { return c.routable[c.rng.IntN(len(c.routable))] }
 
-// backendOf returns the backend server with a target name.
+// backendByTarget returns the backend server with a target name.
 func (c *cluster) backendByTarget(name ids.Target) *backend {
 	for _, b := range c.backends {
 		if b.target.Name == name {
--- a/internal/experiment/corenode.go
+++ b/internal/experiment/corenode.go
@@ -16,21 +16,22 @@
 	"arbutusdock.example/arbutusdock/internal/spread"
 )
 
-// bootTime is the time before the start of a run in which instances find each
-// other and the configuration.
+// bootTime is the time before the start of a run in which the instances discover
+// each other and load the configuration.
 const bootTime = 8 * time.Second
 
-// coreNode drives the real decision logic: datagrams are encoded and decoded,
-// membership is gossiped, and the configuration comes from the platform.
+// coreNode runs the production decision logic: datagrams are encoded and
+// decoded, membership is gossiped, and the configuration is read from the
+// platform.
 type coreNode struct {
 	cluster     *cluster
 	self        *instance
 	core        *core.Core
-	jobs        map[exchangeKey]*job // requests at backend servers
+	jobs        map[exchangeKey]*job // requests that were sent to backend servers
 	freeEffects []*core.Effects
 }
 
-// upstreamKey is the message id of a request to a backend server.
+// exchangeKey identifies a request to a backend server by its CoAP message id.
 type exchangeKey struct {
 	target ids.Target
 	id     uint16
@@ -50,10 +51,10 @@
 	return &coreNode{cluster: c, self: self, core: core.New(s, keys, c.rng.Uint64()), jobs: make(map[exchangeKey]*job)}
 }
 
-func (in *instance) address() string { return fmt.Sprintf("127.0.0.1:%d", 9000+in.index) }
+func (i *instance) address() string { return fmt.Sprintf("127.0.0.1:%d", 9000+i.index) }
 
-// call calls the core and carries out the effects.
-func (n *coreNode) invoke(f func(now ids.Time, out *core.Effects)) {
+// invoke calls fn for the core and carries out the resulting effects.
+func (n *coreNode) invoke(fn func(now ids.Time, out *core.Effects)) {
 	if n.self.dead {
 		return
 	}
@@ -63,7 +64,7 @@
 	} else {
 		out = new(core.Effects)
 	}
-	f(n.cluster.now, out)
+	fn(n.cluster.now, out)
 	for i := range out.List {
 		n.applyEffect(&out.List[i])
 	}
@@ -92,11 +93,11 @@
 	}
 }
 
-// decode encodes a message and decodes it again, as on the wire.
+// roundTrip encodes and decodes a message, as when it is sent over the network.
 func roundTrip(o *message.Outgoing) *message.Message {
 	raw, err := message.Encode(nil, o)
 	if err != nil {
-		panic(err) // the core has built a message that cannot be sent
+		panic(err) // the core built a message that cannot be encoded
 	}
 	return mustDecode(raw)
 }
@@ -116,7 +117,7 @@
 	})
 }
 
-// toCaller interprets a datagram for a caller.
+// sendToCaller delivers a datagram to its caller.
 func (n *coreNode) sendToCaller(m *message.Message) {
 	if m.Code == message.Empty {
 		if r := n.cluster.byMessage[m.ID]; r != nil && m.Type == message.Acknowledgement {
@@ -131,9 +132,9 @@
 	if m.Type == message.Confirmable {
 		ack := roundTrip(&message.Outgoing{Type: message.Acknowledgement, ID: m.ID})
 		n.cluster.after(2*callerDelay, func() {
-			if in := n.cluster.randomInstance(); !in.dead {
-				in.node.(*coreNode).invoke(func(now ids.Time, out *core.Effects) {
-					in.node.(*coreNode).core.HandleCaller(now, &core.CallerEvent{Service: serviceName, Caller: callerAddress(r.callerIndex), Message: ack}, out)
+			if receiver := n.cluster.randomInstance(); !receiver.dead {
+				receiver.node.(*coreNode).invoke(func(now ids.Time, out *core.Effects) {
+					receiver.node.(*coreNode).core.HandleCaller(now, &core.CallerEvent{Service: serviceName, Caller: callerAddress(r.callerIndex), Message: ack}, out)
 				})
 			}
 		})
@@ -150,7 +151,7 @@
 	}
 }
 
-// toBackend delivers a datagram to a backend server.
+// sendToBackend delivers a datagram to a backend server.
 func (n *coreNode) sendToBackend(e *core.Effect) {
 	b := n.cluster.backendByTarget(e.Target)
 	if b == nil || e.Datagram.Type == message.Acknowledgement {
@@ -165,7 +166,7 @@
 		return
 	}
 	if n.jobs[key] != nil {
-		return // a repeat of a request that the backend server has
+		return // a retransmission
 	}
 	r := n.cluster.byToken[mustDecode(e.Datagram.Template).Token]
 	if r == nil {
@@ -174,12 +175,12 @@
 	r.dispatches++
 	j := &job{runTime: r.runTime, expires: n.cluster.now.Add(time.Duration(e.Datagram.DeadlineMS) * time.Millisecond)}
 	n.jobs[key] = j
-	acked := false
+	acknowledged := false
 	reply := func(o *message.Outgoing) {
-		got := roundTrip(o)
+		decoded := roundTrip(o)
 		n.cluster.after(backendDelay, func() {
 			n.invoke(func(now ids.Time, out *core.Effects) {
-				n.core.HandleBackend(now, &core.BackendEvent{From: b.target.Address, Message: got}, out)
+				n.core.HandleBackend(now, &core.BackendEvent{From: b.target.Address, Message: decoded}, out)
 			})
 		})
 	}
@@ -188,17 +189,17 @@
 		if o == spread.Shed {
 			code = message.ServiceUnavailable
 		}
-		answer := &message.Outgoing{Type: message.Acknowledgement, Code: code, ID: m.ID, Token: m.Token}
-		if acked {
-			answer.Type = message.NonConfirmable
+		response := &message.Outgoing{Type: message.Acknowledgement, Code: code, ID: m.ID, Token: m.Token}
+		if acknowledged {
+			response.Type = message.NonConfirmable
 		}
-		reply(answer)
-		acked = true
+		reply(response)
+		acknowledged = true
 	}
 	n.cluster.after(backendDelay, func() { b.accept(j) })
 	n.cluster.after(backendDelay+ackDelay, func() {
-		if !acked && !j.ended && !b.dead {
-			acked = true
+		if !acknowledged && !j.ended && !b.dead {
+			acknowledged = true
 			reply(&message.Outgoing{Type: message.Acknowledgement, ID: m.ID})
 		}
 	})
@@ -208,23 +209,23 @@
 func (n *coreNode) sendToPeer(to ids.Instance, m *peerwire.Message) {
 	raw, err := peerwire.Encode(nil, m)
 	if err != nil {
-		panic(err) // the core has built a message that cannot be sent
+		panic(err) // the core built a message that cannot be encoded
 	}
-	for _, in := range n.cluster.instances {
-		if in.id == to && !n.cluster.cutLinks[[2]*instance{n.self, in}] {
-			n.cluster.sendPeer(in, raw, m.Lane() == peerwire.Data)
+	for _, inst := range n.cluster.instances {
+		if inst.id == to && !n.cluster.cutLinks[[2]*instance{n.self, inst}] {
+			n.cluster.sendPeer(inst, raw, m.Lane() == peerwire.Data)
 		}
 	}
 }
 
 func (n *coreNode) handlePeer(m any) {
-	got := new(peerwire.Message)
-	if err := peerwire.Decode(m.([]byte), got); err != nil {
+	decoded := new(peerwire.Message)
+	if err := peerwire.Decode(m.([]byte), decoded); err != nil {
 		panic(err)
 	}
-	e := &core.PeerEvent{Message: got}
-	if got.Relay != nil {
-		e.RelayedDatagram = mustDecode(got.Relay.Datagram)
+	e := &core.PeerEvent{Message: decoded}
+	if decoded.Relay != nil {
+		e.RelayedDatagram = mustDecode(decoded.Relay.Datagram)
 	}
 	n.invoke(func(now ids.Time, out *core.Effects) { n.core.HandlePeer(now, e, out) })
 }
@@ -235,10 +236,10 @@
 	})
 }
 
-// instances is left to the gossip of the cores.
+// setInstances does nothing, because the cores find each other by gossip.
 func (n *coreNode) setInstances(ids.Time, []ids.Instance) {}
 
-// profile publishes r on the platform unless another instance has done so.
+// setProfile publishes r on the platform unless another instance has done so.
 func (n *coreNode) setProfile(r *config.Resolved) { n.cluster.platform.publish(r) }
 
 func (n *coreNode) tick() {
@@ -250,8 +251,8 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 2, byte(caller >> 8), byte(caller)}), 40000)
 }
 
-// datagram builds the datagram of the current transmission of r. The message
-// id changes with each attempt and with the admission token.
+// newDatagram builds the datagram of the current transmission of r. The message
+// id changes with each attempt and when an admission token is added.
 func (r *request) newDatagram(c *cluster) *message.Message {
 	if r.messageID == 0 {
 		c.lastSerial++
--- a/internal/experiment/crest.go
+++ b/internal/experiment/crest.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Times of the demand swing.
+// Times of the demand swing, which ramps up to a peak and back.
 const (
 	swingStart   = 5 * time.Second
 	swingRamp    = 2 * time.Second
@@ -14,7 +14,8 @@
 	meanShortRun = 10 * time.Millisecond // mean run time of short requests
 )
 
-// runSwing runs a demand swing from 0.5 to 3 times the capacity and back.
+// runSwing runs a demand swing from 0.5 to 3 times the capacity and back, in
+// which longShare of the requests are long.
 func runSwing(p policy, seed uint64, longShare float64) *cluster {
 	r := testConfig()
 	if longShare > 0 {
@@ -33,39 +34,39 @@
 		plot: plotSpec{x: "time (s)", y: "work per capacity", lines: true, policies: []string{"least outstanding", "two choices", designName, coreName}},
 		run: func(p policy, seed uint64) runOutcome {
 			c := runSwing(p, seed, 0)
-			out := runOutcome{series: []series{c.demandCurve(swingRun), c.goodputCurve(swingRun)}}
-			out.measures = append(out.measures, peakMeasures("short requests", c, true)...)
-			out.measures = append(out.measures, peakMeasures("2% run 50 times longer", runSwing(p, seed, 0.02), false)...)
-			return out
+			result := runOutcome{series: []series{c.demandCurve(swingRun), c.goodputCurve(swingRun)}}
+			result.measures = append(result.measures, peakMeasures("short requests", c, true)...)
+			result.measures = append(result.measures, peakMeasures("2% run 50 times longer", runSwing(p, seed, 0.02), false)...)
+			return result
 		},
 	}
 }
 
-func peakMeasures(name string, c *cluster, goals bool) []measure {
+func peakMeasures(name string, c *cluster, withGoals bool) []measure {
 	s := c.stats
-	before := s.sum(time.Second, swingStart)
-	top := s.sum(peakStart, peakEnd)
-	whole := s.sum(swingStart, swingRun)
-	normal := s.recoveryTime(swingEnd, 10*time.Second, 2*percentile(before.latencies, 0.99))
+	baseline := s.sum(time.Second, swingStart)
+	peak := s.sum(peakStart, peakEnd)
+	swing := s.sum(swingStart, swingRun)
+	recovery := s.recoveryTime(swingEnd, 10*time.Second, 2*percentile(baseline.latencies, 0.99))
 	capacity := float64(slotCount) * swingHold.Seconds()
-	list := []measure{
-		{name, "goodput at the peak (% of capacity)", 100 * top.work.Seconds() / capacity, &Goal{false, 95}},
-		{name, "median latency of short requests at the peak (ms)", milliseconds(percentile(top.latencies, 0.5)), nil},
-		{name, "p99 latency of short requests at the peak (ms)", milliseconds(percentile(top.latencies, 0.99)), nil},
+	measures := []measure{
+		{name, "goodput at the peak (% of capacity)", 100 * peak.work.Seconds() / capacity, &Goal{false, 95}},
+		{name, "median latency of short requests at the peak (ms)", milliseconds(percentile(peak.latencies, 0.5)), nil},
+		{name, "p99 latency of short requests at the peak (ms)", milliseconds(percentile(peak.latencies, 0.99)), nil},
 		{name, "refusals with a time to come back (%)", 100 - percent(s.refusalsWithoutRetryAfter, s.refusals), &Goal{false, 100}},
-		{name, "callers that return and are served (%)", percent(whole.retriesServed, whole.retries), nil},
+		{name, "callers that return and are served (%)", percent(swing.retriesServed, swing.retries), nil},
 		{name, "requests without an answer (%)", percent(s.failures, s.requests), nil},
-		{name, "time to normal service (s)", normal.Seconds(), &Goal{true, 2}},
+		{name, "time to normal service (s)", recovery.Seconds(), &Goal{true, 2}},
 	}
 	if s.longSent > 0 {
-		list = append(list, measure{name, "long requests served (%)", percent(int(s.long.TotalCount()), s.longSent), nil})
+		measures = append(measures, measure{name, "long requests served (%)", percent(int(s.long.TotalCount()), s.longSent), nil})
 	}
-	if !goals {
-		for i := range list {
-			list[i].goal = nil
+	if !withGoals {
+		for i := range measures {
+			measures[i].goal = nil
 		}
 	}
-	return list
+	return measures
 }
 
 func retries() *Experiment {
@@ -75,34 +76,36 @@
 		run: func(p policy, seed uint64) runOutcome {
 			c := runSwing(p, seed, 0)
 			s := c.stats
-			top := s.sum(swingStart, swingEnd)
-			later := s.sum(swingEnd, swingRun)
+			peak := s.sum(swingStart, swingEnd)
+			afterSwing := s.sum(swingEnd, swingRun)
 			return runOutcome{measures: []measure{
-				{"", "transmissions per request at the peak", float64(top.transmissions) / float64(top.firstSent), &Goal{true, 1.1}},
-				{"", "transmissions per request after it", float64(later.transmissions) / float64(later.firstSent), nil},
+				{"", "transmissions per request at the peak", float64(peak.transmissions) / float64(peak.firstSent), &Goal{true, 1.1}},
+				{"", "transmissions per request after it", float64(afterSwing.transmissions) / float64(afterSwing.firstSent), nil},
 				{"", "requests sent to backend servers twice (%)", percent(s.redispatched, s.requests), &Goal{true, 10}},
 			}}
 		},
 	}
 }
 
-// demandCurve returns the offered work of first attempts over the capacity.
+// demandCurve returns the offered work of first transmissions, divided by the
+// capacity, over time.
 func (c *cluster) demandCurve(end time.Duration) series {
-	out := series{name: "demand", dashed: true}
+	curve := series{name: "demand", dashed: true}
 	perRequest := meanShortRun.Seconds() / (slotCount * windowLength.Seconds())
 	for t := time.Duration(0); t < end; t += 2 * windowLength {
-		out.x = append(out.x, t.Seconds())
-		out.y = append(out.y, float64(c.stats.sum(t, t+2*windowLength).firstSent)*perRequest/2)
+		curve.x = append(curve.x, t.Seconds())
+		curve.y = append(curve.y, float64(c.stats.sum(t, t+2*windowLength).firstSent)*perRequest/2)
 	}
-	return out
+	return curve
 }
 
-// goodputCurve returns the work of served requests over the capacity.
+// goodputCurve returns the work of served requests, divided by the capacity,
+// over time.
 func (c *cluster) goodputCurve(end time.Duration) series {
-	out := series{name: "goodput"}
+	curve := series{name: "goodput"}
 	for t := time.Duration(0); t < end; t += 2 * windowLength {
-		out.x = append(out.x, t.Seconds())
-		out.y = append(out.y, c.stats.sum(t, t+2*windowLength).work.Seconds()/(slotCount*2*windowLength.Seconds()))
+		curve.x = append(curve.x, t.Seconds())
+		curve.y = append(curve.y, c.stats.sum(t, t+2*windowLength).work.Seconds()/(slotCount*2*windowLength.Seconds()))
 	}
-	return out
+	return curve
 }
--- a/internal/experiment/design.go
+++ b/internal/experiment/design.go
@@ -11,7 +11,8 @@
 	"arbutusdock.example/arbutusdock/internal/spread"
 )
 
-// relayed is a request that another instance has passed on, with its load.
+// relayedRequest is a request that another instance relayed, with the load of
+// that instance.
 type relayedRequest struct {
 	from *instance
 	r    *request
@@ -19,51 +20,53 @@
 	load peerLoad
 }
 
-// slotFree tells that the sender has free slots and no queue.
+// slotReport reports the load of the sender. If freed is positive, the sender
+// also has that many free slots and no queued short requests.
 type slotReport struct {
 	from  *instance
 	freed int
 	load  peerLoad
 }
 
-// load is the piggybacked state of an instance.
+// peerLoad is the load of an instance as reported to its peers.
 type peerLoad struct {
 	free, backlog    int
-	updated          ids.Time // when it was received, or a relay was sent on belief
-	unansweredRelays int      // relays sent on belief without a report since
-	lastSent         ids.Time // when the own load was last sent to this peer
+	updated          ids.Time // when the report was received, or a relay was sent
+	unansweredRelays int      // relays sent on an expired report since the last report
+	lastSent         ids.Time // when this instance last sent its load to the peer
 }
 
-// beliefAge is the age at which a report of a peer without free slots is no
-// longer believed. Without an end nobody relays to that peer again, so that it
-// never sends another report: 0.0002 messages per request were exchanged, and
-// slots of one instance idled while requests queued at another.
+// loadReportLifetime is the age at which a load report without free slots
+// expires. Without expiry no instance relays to that peer again, and the peer
+// never sends another report: instances then exchanged 0.0002 messages per
+// request, and slots of one instance were idle while requests queued at another.
 //
-// A peer that has not reported since the last relay on belief may be dead, so
-// the age doubles with each such relay.
+// A peer that has not reported since the last relay on an expired report may be
+// dead, so the lifetime doubles with each such relay, maxDoublings times at most.
 const (
 	loadReportLifetime = 20 * time.Millisecond
 	maxDoublings       = 6
 )
 
-// queued is a request that waits for a slot.
+// queuedRequest is a request that waits for a slot.
 type queuedRequest struct {
 	r          *request
 	expires    ids.Time
-	maxWaitEnd ids.Time // end of the longest wait
+	maxWaitEnd ids.Time // end of the maximum time in the queue
 	key        uint64
 	class      spread.Class
 }
 
-// design is the policy of the design page on the real spread, share and
-// admission packages: own slots, relay to a free slot, separate queues for
-// long requests, fair queueing over partners.
+// designNode models the scheduling of the design page with the production
+// packages spread, share and admission: each instance owns slots, relays requests
+// to instances with free slots, queues long requests separately, and shares the
+// slots fairly between partners.
 type designNode struct {
 	cluster    *cluster
 	self       *instance
 	table      *spread.Table
 	queues     [2]share.Queue[*queuedRequest]
-	waiting    [2]map[ids.Partner]int
+	waiting    [2]map[ids.Partner]int // number of queued requests, by class
 	limiter    admission.Limiter
 	retryPacer share.RetryPacer
 	weights    map[ids.Partner]uint32
@@ -73,8 +76,10 @@
 
 const (
 	maxHops = 2
-	// returnPart keeps the transmissions at three times the capacity below 1.1
-	// per request, and leaves room for the load after the peak.
+	// retryLoadFraction is the rate at which refused requests are sent again, as a
+	// fraction of the service rate. It keeps the transmissions below 1.1 per
+	// request at three times the capacity, and leaves capacity for new requests
+	// after the peak.
 	retryLoadFraction = 0.25
 )
 
@@ -93,10 +98,10 @@
 func (n *designNode) setInstances(now ids.Time, serving []ids.Instance) {
 	n.table.SetInstances(now, serving)
 	clear(n.peers)
-	for _, in := range n.cluster.instances {
+	for _, inst := range n.cluster.instances {
 		for _, id := range serving {
-			if in.id == id && in != n.self {
-				n.peers[in] = &peerLoad{free: 1}
+			if inst.id == id && inst != n.self {
+				n.peers[inst] = &peerLoad{free: 1}
 			}
 		}
 	}
@@ -120,35 +125,37 @@
 	n.schedule(r, 0)
 }
 
+// schedule dispatches r if an owned slot is free, else relays it to a peer with
+// free slots, else queues it, or refuses it if its queue is too long.
 func (n *designNode) schedule(r *request, hops int) {
 	p := n.pool()
 	if p == nil {
 		n.refuse(r)
 		return
 	}
-	q := &queuedRequest{r: r, key: r.path, class: p.Classify(r.path), expires: n.cluster.expiry(r)}
-	q.maxWaitEnd = n.cluster.now.Add(n.limiter.MaxQueueTime)
-	if n.queues[q.class].Len() == 0 && n.dispatch(q) {
+	entry := &queuedRequest{r: r, key: r.path, class: p.Classify(r.path), expires: n.cluster.expiry(r)}
+	entry.maxWaitEnd = n.cluster.now.Add(n.limiter.MaxQueueTime)
+	if n.queues[entry.class].Len() == 0 && n.dispatch(entry) {
 		return
 	}
 	if hops < maxHops {
-		if to := n.freePeer(); to != nil {
-			n.relay(to, r, hops)
+		if peer := n.freePeer(); peer != nil {
+			n.relay(peer, r, hops)
 			return
 		}
 	}
 	partner := r.traffic.partner
-	slots := float64(p.Capacity()) * n.partnerFraction(q.class, partner)
-	if !n.limiter.CanQueue(n.waiting[q.class][partner], p.RunTime(), slots) {
+	slots := float64(p.Capacity()) * n.partnerFraction(entry.class, partner)
+	if !n.limiter.CanQueue(n.waiting[entry.class][partner], p.RunTime(), slots) {
 		n.refuse(r)
 		return
 	}
-	n.waiting[q.class][partner]++
-	n.queues[q.class].Push(partner, p.RunTime(), q)
+	n.waiting[entry.class][partner]++
+	n.queues[entry.class].Push(partner, p.RunTime(), entry)
 }
 
-// part returns the part of the slots that a partner gets while the partners
-// with queued requests compete.
+// partnerFraction returns the fraction of the slots of a partner, by its weight
+// among the partners with queued requests.
 func (n *designNode) partnerFraction(c spread.Class, partner ids.Partner) float64 {
 	own, total := uint32(1), uint32(0)
 	for name, w := range n.weights {
@@ -164,21 +171,22 @@
 func (n *designNode) relay(to *instance, r *request, hops int) {
 	n.peers[to].free--
 	n.peers[to].updated, n.peers[to].lastSent = n.cluster.now, n.cluster.now
-	r.receiver = to
+	r.currentInstance = to
 	n.cluster.sendData(to, relayedRequest{n.self, r, hops + 1, n.ownLoad()})
 }
 
-// freePeer returns the peer believed to have the most free slots.
+// freePeer returns the peer that reported the most free slots, or nil. A peer
+// whose report without free slots has expired counts as having one.
 func (n *designNode) freePeer() *instance {
 	var best *instance
-	for _, in := range n.cluster.instances {
-		l := n.peers[in]
+	for _, inst := range n.cluster.instances {
+		l := n.peers[inst]
 		if l != nil && l.free <= 0 && n.cluster.now.Sub(l.updated) > loadReportLifetime<<min(l.unansweredRelays, maxDoublings) {
 			l.free = 1
 			l.unansweredRelays++
 		}
 		if l != nil && l.free > 0 && (best == nil || l.free > n.peers[best].free) {
-			best = in
+			best = inst
 		}
 	}
 	return best
@@ -196,16 +204,17 @@
 	n.cluster.deliverResponse(r, refused, time.Duration(n.retryPacer.RetryAfter(n.cluster.now, rate, n.rng))*time.Second)
 }
 
-// dispatch sends q to a backend server if an owned slot is free for it.
+// dispatch sends q to a backend server and returns true if this instance owns a
+// free slot for it.
 func (n *designNode) dispatch(q *queuedRequest) bool {
 	p := n.pool()
-	l, ok := p.Acquire(n.cluster.now, q.class, "")
+	lease, ok := p.Acquire(n.cluster.now, q.class, "")
 	if !ok {
 		return false
 	}
 	start := n.cluster.now
-	n.cluster.dispatch(n.self, n.cluster.backendByTarget(l.Target), q.r, q.expires, func(o spread.Outcome) {
-		n.pool().Release(n.cluster.now, l, q.key, o)
+	n.cluster.dispatch(n.self, n.cluster.backendByTarget(lease.Target), q.r, q.expires, func(o spread.Outcome) {
+		n.pool().Release(n.cluster.now, lease, q.key, o)
 		n.queues[q.class].Charge(q.r.traffic.partner, n.cluster.now.Sub(start)-p.RunTime())
 		switch o {
 		case spread.Success:
@@ -220,8 +229,9 @@
 	return true
 }
 
-// pump dispatches queued requests while slots are free. Long requests go
-// first: their number of slots is capped, so they cannot starve short ones.
+// dispatchQueued dispatches queued requests while slots are free. Long requests
+// are dispatched first; they cannot starve short ones, because the number of
+// their slots is limited.
 func (n *designNode) dispatchQueued() {
 	p := n.pool()
 	for _, c := range []spread.Class{spread.Long, spread.Short} {
@@ -246,12 +256,13 @@
 	}
 }
 
-// announce tells the peer with the greatest known backlog of free slots.
+// announceFreeSlots reports free slots to the peer with the largest reported
+// backlog.
 func (n *designNode) announceFreeSlots(count int) {
 	var best *instance
-	for _, in := range n.cluster.instances {
-		if l := n.peers[in]; l != nil && l.backlog > 0 && (best == nil || l.backlog > n.peers[best].backlog) {
-			best = in
+	for _, inst := range n.cluster.instances {
+		if l := n.peers[inst]; l != nil && l.backlog > 0 && (best == nil || l.backlog > n.peers[best].backlog) {
+			best = inst
 		}
 	}
 	if best != nil {
@@ -260,7 +271,8 @@
 	}
 }
 
-// report sends the own load.
+// sendLoad sends the load of this instance and the number of freed slots to a
+// peer.
 func (n *designNode) sendLoad(to *instance, count int) {
 	n.peers[to].lastSent = n.cluster.now
 	n.cluster.sendData(to, slotReport{n.self, count, n.ownLoad()})
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -9,13 +9,14 @@
 	"github.com/rotisserie/eris"
 )
 
-// Goal is an objective of design page section 1.5 for the policies of the design.
+// Goal is an objective of section 1.5 of the design page. It applies to the
+// policies of the design.
 type Goal struct {
-	AtMost bool // otherwise at least
+	AtMost bool // values must be at most Limit, otherwise at least
 	Limit  float64
 }
 
-// met reports whether v reaches the goal.
+// met reports whether v meets the goal.
 func (g *Goal) met(v float64) bool {
 	if g.AtMost {
 		return v <= g.Limit
@@ -23,10 +24,10 @@
 	return v >= g.Limit
 }
 
-// measure is one figure of one run.
+// measure is a value measured in one run.
 type measure struct {
 	variant string
-	metric  string // with its unit
+	metric  string // name with unit
 	value   float64
 	goal    *Goal
 }
@@ -38,13 +39,13 @@
 	dashed bool
 }
 
-// outcome is everything that one run yields.
+// runOutcome holds the results of one run.
 type runOutcome struct {
 	measures []measure
 	series   []series
 }
 
-// Experiment compares the policies in one situation.
+// Experiment compares the policies in one scenario.
 type Experiment struct {
 	Name  string
 	Title string
@@ -52,26 +53,27 @@
 	run   func(p policy, seed uint64) runOutcome
 }
 
-// Row is a figure of one policy over all seeds.
+// Row holds the values of one metric for one policy over all seeds.
 type Row struct {
 	Variant, Policy, Metric string
-	Values                  []float64 // by seed
-	Goal                    *Goal     // nil when there is none for this row
+	Values                  []float64 // in the order of the seeds
+	Goal                    *Goal     // nil if there is none for this row
 }
 
-// Min, Median and Max describe the spread of the seeds.
+// Min returns the least value of all seeds.
 func (r *Row) Min() float64 { return slices.Min(r.Values) }
 
-// Max returns the greatest value.
+// Max returns the greatest value of all seeds.
 func (r *Row) Max() float64 { return slices.Max(r.Values) }
 
-// Median returns the middle value.
+// Median returns the median over all seeds.
 func (r *Row) Median() float64 {
 	v := slices.Sorted(slices.Values(r.Values))
 	return (v[(len(v)-1)/2] + v[len(v)/2]) / 2
 }
 
-// Verdict tells whether the goal is met with every seed.
+// Verdict describes whether the goal is met with every seed, by the median only,
+// or not at all.
 func (r *Row) Verdict() string {
 	switch {
 	case r.Goal == nil:
@@ -92,7 +94,7 @@
 	curves     map[string][]series // by policy
 }
 
-// All returns the experiments in the order of the report.
+// All returns the experiments in the order in which they run.
 func All() []*Experiment {
 	return []*Experiment{crest(), headOfLine(), imbalance(), shares(), faults(), retries()}
 }
@@ -100,10 +102,10 @@
 // Run runs e with every policy and seed on the workers of pool. The result
 // does not depend on the order in which the runs end.
 func (e *Experiment) Run(pool pond.Pool, seeds []uint64) (*Result, error) {
-	list := policies()
-	outcomes := make([]runOutcome, len(list)*len(seeds))
+	policyList := policies()
+	outcomes := make([]runOutcome, len(policyList)*len(seeds))
 	group := pool.NewGroup()
-	for i, p := range list {
+	for i, p := range policyList {
 		for j, seed := range seeds {
 			group.Submit(func() { outcomes[i*len(seeds)+j] = e.run(p, seed) })
 		}
@@ -111,10 +113,10 @@
 	if err := group.Wait(); err != nil {
 		return nil, eris.Wrapf(err, "run experiment %s", e.Name)
 	}
-	res := &Result{Experiment: e, Seeds: seeds, curves: make(map[string][]series)}
+	result := &Result{Experiment: e, Seeds: seeds, curves: make(map[string][]series)}
 	index := make(map[[3]string]*Row)
-	for i, p := range list {
-		res.curves[p.name] = outcomes[i*len(seeds)].series
+	for i, p := range policyList {
+		result.curves[p.name] = outcomes[i*len(seeds)].series
 		for j := range seeds {
 			for _, m := range outcomes[i*len(seeds)+j].measures {
 				key := [3]string{m.variant, p.name, m.metric}
@@ -125,17 +127,18 @@
 						row.Goal = m.goal
 					}
 					index[key] = row
-					res.Rows = append(res.Rows, row)
+					result.Rows = append(result.Rows, row)
 				}
 				row.Values = append(row.Values, m.value)
 			}
 		}
 	}
-	res.sortRows()
-	return res, nil
+	result.sortRows()
+	return result, nil
 }
 
-// sort groups the rows by variant and metric, in the order of first use.
+// sortRows groups the rows by variant and metric, in the order of their first
+// occurrence.
 func (r *Result) sortRows() {
 	order := make(map[string]int)
 	for _, row := range r.Rows {
@@ -151,7 +154,7 @@
 	})
 }
 
-// percentile returns the q-quantile of d, 0 when it is empty.
+// percentile returns the q-quantile of d, or 0 if d is empty.
 func percentile(d []time.Duration, q float64) time.Duration {
 	if len(d) == 0 {
 		return 0
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// shortSteady runs one second at 70% load.
+// runShortSteady runs a cluster with one second of requests at 70% load.
 func runShortSteady(p policy, seed uint64) *cluster {
 	c := newCluster(seed, testConfig(), p.newFactory())
 	m := &trafficMix{meanShortRun: meanShortRun, nonIdempotentShare: 0.2}
@@ -21,8 +21,8 @@
 	return c
 }
 
-// Guards against a run that depends on anything but its seed: figures could
-// then not be reproduced.
+// Guards against runs that depend on anything but the seed, whose results could
+// not be reproduced.
 func TestRunsAreDeterministic(t *testing.T) {
 	for _, p := range policies() {
 		a, b := runShortSteady(p, 7), runShortSteady(p, 7)
@@ -34,8 +34,8 @@
 	}
 }
 
-// Guards against requests that the model loses: at a load below the capacity
-// every policy serves each of them.
+// Guards against requests that the model loses. At a load below the capacity
+// every policy must serve all requests.
 func TestEveryRequestIsServed(t *testing.T) {
 	for _, p := range policies() {
 		s := runShortSteady(p, 1).stats
@@ -68,7 +68,7 @@
 	assert.Equal(t, outcomes[spread.Success], slotsPerBackend+backendQueue)
 }
 
-// Guards against a verdict that hides a seed that misses the goal.
+// Guards against a verdict that hides a seed which misses the goal.
 func TestVerdict(t *testing.T) {
 	row := Row{Values: []float64{1, 1.05, 1.2}, Goal: &Goal{AtMost: true, Limit: 1.1}}
 	assert.Equal(t, row.Verdict(), "met by the median")
@@ -78,15 +78,15 @@
 	assert.Equal(t, row.Verdict(), "MISSED")
 }
 
-// Guards against a time to normal that ends before a later relapse.
-func TestRecoverySeesRelapse(t *testing.T) {
+// Guards against a recovery time that ends before a later period of bad service.
+func TestRecoveryTimeIncludesRelapse(t *testing.T) {
 	c := &cluster{sim: newSim(1)}
 	s := newStats(c)
 	for i := range 100 {
 		w := s.windowAt(epoch.Add(time.Duration(i) * windowLength))
 		w.latencies = []time.Duration{10 * time.Millisecond}
 		if i >= 20 && i < 30 || i == 60 {
-			w.notServedAtOnce = 1
+			w.firstAttemptUnserved = 1
 		}
 	}
 	limit := 20 * time.Millisecond
@@ -94,7 +94,7 @@
 	assert.Assert(t, s.recoveryTime(2*time.Second, 6*time.Second, limit) > 4*time.Second)
 }
 
-// Guards against reports without a policy or a seed.
+// Guards against reports that omit a policy or a seed.
 func TestReportHoldsAllRows(t *testing.T) {
 	e := &Experiment{Name: "x", Title: "X", run: func(p policy, seed uint64) runOutcome {
 		return runOutcome{measures: []measure{{"", "value", float64(seed), &Goal{true, 2}}}}
--- a/internal/experiment/faults.go
+++ b/internal/experiment/faults.go
@@ -13,19 +13,17 @@
 		Name: "faults", Title: "Loss of an instance, and health endpoints that lie",
 		plot: plotSpec{x: "time (s)", y: "served at once (%)", lines: true, policies: []string{"least outstanding", "two choices", designName, coreName}},
 		run: func(p policy, seed uint64) runOutcome {
-			lost := runFault(p, seed, 0.8, func(c *cluster) { c.kill(c.instances[instanceCount-1]) })
-			liars := runFault(p, seed, 0.6, killWithFalseHealth)
-			out := runOutcome{series: []series{lost.servedCurve("instance lost"), liars.servedCurve("endpoints lie")}}
-			out.measures = append(out.measures, faultMeasures("instance lost at 80% load", lost)...)
-			out.measures = append(out.measures, faultMeasures("half of the endpoints lie, 60% load", liars)...)
-			return out
+			instanceLost := runFault(p, seed, 0.8, func(c *cluster) { c.kill(c.instances[instanceCount-1]) })
+			falseHealth := runFault(p, seed, 0.6, killWithFalseHealth)
+			result := runOutcome{series: []series{instanceLost.servedCurve("instance lost"), falseHealth.servedCurve("endpoints lie")}}
+			result.measures = append(result.measures, faultMeasures("instance lost at 80% load", instanceLost)...)
+			result.measures = append(result.measures, faultMeasures("half of the endpoints lie, 60% load", falseHealth)...)
+			return result
 		},
 	}
 }
 
-// runFault runs a constant load with a fault at faultAt. In the first four
-// backend servers the health endpoint reports a failure from the start if the
-// fault is one of lies.
+// runFault runs a constant load and applies fault at faultAt.
 func runFault(p policy, seed uint64, load float64, fault func(c *cluster)) *cluster {
 	c := newCluster(seed, testConfig(), p.newFactory())
 	m := &trafficMix{meanShortRun: meanShortRun, nonIdempotentShare: 0.2}
@@ -36,8 +34,9 @@
 	return c
 }
 
-// killWithFalseHealth makes the endpoints of seven of the 15 backend servers lie:
-// four that work report a failure, three that die report that all is well.
+// killWithFalseHealth makes the health endpoints of seven of the 15 backend
+// servers report a false state: four that work report a failure, and three that
+// die report that they are healthy.
 func killWithFalseHealth(c *cluster) {
 	for i, b := range c.backends[:7] {
 		b.falseHealth = true
@@ -59,13 +58,14 @@
 	}
 }
 
-// servedCurve returns the share of requests that were served at once.
+// servedCurve returns the percentage of requests served on the first attempt,
+// over time.
 func (c *cluster) servedCurve(name string) series {
-	out := series{name: name}
+	curve := series{name: name}
 	for t := time.Duration(0); t < faultsRun-deadline; t += 2 * windowLength {
 		w := c.stats.sum(t, t+2*windowLength)
-		out.x = append(out.x, t.Seconds())
-		out.y = append(out.y, percent(len(w.latencies), len(w.latencies)+w.notServedAtOnce))
+		curve.x = append(curve.x, t.Seconds())
+		curve.y = append(curve.y, percent(len(w.latencies), len(w.latencies)+w.firstAttemptUnserved))
 	}
-	return out
+	return curve
 }
--- a/internal/experiment/imbalance.go
+++ b/internal/experiment/imbalance.go
@@ -10,7 +10,7 @@
 const (
 	imbalanceRun  = 25 * time.Second
 	imbalanceFrom = 5 * time.Second
-	coldRequests  = 20 // slow requests of each backend server after a cold start
+	coldRequests  = 20 // requests that run slowly on each backend server after a cold start
 )
 
 func imbalance() *Experiment {
@@ -19,8 +19,8 @@
 		Name: "imbalance", Title: "Even use of backend servers at 70% load",
 		plot: plotSpec{y: metric, metric: metric},
 		run: func(p policy, seed uint64) runOutcome {
-			var out runOutcome
-			for _, v := range []struct {
+			var result runOutcome
+			for _, variant := range []struct {
 				name     string
 				from, to time.Duration
 				prepare  func(c *cluster)
@@ -30,34 +30,34 @@
 				{"cold start", 0, imbalanceRun - imbalanceFrom, coldStart},
 			} {
 				c := newCluster(seed, testConfig(), p.newFactory())
-				v.prepare(c)
+				variant.prepare(c)
 				m := &trafficMix{meanShortRun: meanShortRun, nonIdempotentShare: 0.2}
 				m.load, m.peakLoad = constantLoad(steadyLoad)
-				m.generate(c.sim, slotCount, v.to, func() { c.sendRequest(m) })
-				c.run(v.from)
+				m.generate(c.sim, slotCount, variant.to, func() { c.sendRequest(m) })
+				c.run(variant.from)
 				c.resetBusyTime()
-				c.run(v.to)
-				out.measures = append(out.measures,
-					measure{v.name, metric, c.imbalance(), &Goal{true, 1.1}},
-					measure{v.name, "refused requests (%)", percent(c.stats.refusals, c.stats.requests), nil},
-					measure{v.name, "messages between instances per request", float64(c.stats.relays) / float64(c.stats.requests), nil})
+				c.run(variant.to)
+				result.measures = append(result.measures,
+					measure{variant.name, metric, c.imbalance(), &Goal{true, 1.1}},
+					measure{variant.name, "refused requests (%)", percent(c.stats.refusals, c.stats.requests), nil},
+					measure{variant.name, "messages between instances per request", float64(c.stats.relays) / float64(c.stats.requests), nil})
 			}
-			return out
+			return result
 		},
 	}
 }
 
-// disagree gives each instance a list that lacks another one. The lists of the
-// core are gossiped, so for it the links between two pairs of instances go
-// down instead.
+// makeListsDisagree gives each instance a list of instances that omits one other
+// instance. The core builds its lists by gossip, so for coreNode the links
+// between two pairs of instances are cut instead.
 func makeListsDisagree(c *cluster) {
 	for _, pair := range [][2]int{{0, 1}, {2, 3}} {
 		a, b := c.instances[pair[0]], c.instances[pair[1]]
 		c.cutLinks[[2]*instance{a, b}], c.cutLinks[[2]*instance{b, a}] = true, true
 	}
-	for i, in := range c.instances {
-		without := map[ids.Instance]bool{c.instances[(i+1)%instanceCount].id: true}
-		in.node.setInstances(c.now, c.serving(without))
+	for i, inst := range c.instances {
+		excluded := map[ids.Instance]bool{c.instances[(i+1)%instanceCount].id: true}
+		inst.node.setInstances(c.now, c.serving(excluded))
 	}
 }
 
--- a/internal/experiment/platform.go
+++ b/internal/experiment/platform.go
@@ -14,12 +14,12 @@
 type platform struct {
 	cluster       *cluster
 	lastPublished *config.Resolved   // the last publication
-	documents     []core.Publication // latest of each key
+	documents     []core.Publication // latest version of each key
 	revision      ids.Revision
 	watches       []watch
 }
 
-// watch is a pending watch of an instance.
+// watch is a pending configuration watch of an instance.
 type watch struct {
 	node          *coreNode
 	afterRevision ids.Revision
@@ -27,7 +27,8 @@
 
 const platformDelay = 3 * time.Millisecond
 
-// publish publishes the profile and the service of r once.
+// publish publishes the profile and the service of r, unless r is the last
+// configuration published, and answers the pending watches.
 func (p *platform) publish(r *config.Resolved) {
 	if p.lastPublished == r {
 		return
@@ -45,7 +46,8 @@
 	}
 }
 
-// read answers a read, and a watch once there is something newer.
+// readConfig answers a read at once, and a watch when there is a revision newer
+// than after.
 func (p *platform) readConfig(n *coreNode, after ids.Revision, wait bool) {
 	if wait && after >= p.revision {
 		p.watches = append(p.watches, watch{n, after})
@@ -66,7 +68,7 @@
 	})
 }
 
-// profileText returns a profile in the form in which operators publish it.
+// profileText returns a profile as the document that operators publish.
 func profileText(p *config.Profile) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[spread]\nlong_share = %g\nlong_factor = %g\nslow_start_ms = %d\n\n",
@@ -82,7 +84,7 @@
 	return b.String()
 }
 
-// serviceText returns a service in the form in which operators publish it.
+// serviceText returns a service as the document that operators publish.
 func serviceText(s *config.Service) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "address = \"0.0.0.0\"\nport = %d\nprofile = %q\n", s.Port, s.Profile)
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -10,13 +10,13 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// plotSpec describes the plot of an experiment: curves of the first seed for
-// some policies, or bars of one metric for all policies and variants.
+// plotSpec describes the plot of an experiment: either curves of the first seed
+// for some policies, or bars of one metric for all policies and variants.
 type plotSpec struct {
 	x, y     string
 	lines    bool
-	policies []string // whose curves are drawn
-	metric   string   // of the bars
+	policies []string // policies whose curves are drawn
+	metric   string   // metric of the bars
 }
 
 const (
--- a/internal/experiment/policy.go
+++ b/internal/experiment/policy.go
@@ -6,14 +6,14 @@
 	"arbutusdock.example/arbutusdock/internal/config"
 )
 
-// policy is a named way to build instances. make is called once for each run.
+// policy is a named scheduling policy. newFactory is called once for each run.
 type policy struct {
 	name       string
 	newFactory func() nodeFactory
 }
 
-// The policies that the objectives apply to: the real core, and the model of
-// its scheduling on the real spread and share packages.
+// Names of the policies that goals apply to: the production core, and the model
+// of its scheduling with the production packages spread and share.
 const (
 	coreName   = "core"
 	designName = "model of the design"
@@ -30,8 +30,8 @@
 	}
 }
 
-// resolved returns the service of the model with the profile that the
-// experiments use.
+// testConfig returns the configuration of the experiments: the service without
+// targets, and the profile with the given partners.
 func testConfig(partners ...config.Partner) *config.Resolved {
 	return &config.Resolved{
 		Service: config.Service{Name: serviceName, Port: 5683, Profile: "model"},
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -13,17 +13,17 @@
 	if g == nil {
 		return ""
 	}
-	op := "≥"
+	operator := "≥"
 	if g.AtMost {
-		op = "≤"
+		operator = "≤"
 	}
-	return op + " " + strconv.FormatFloat(g.Limit, 'g', -1, 64)
+	return operator + " " + strconv.FormatFloat(g.Limit, 'g', -1, 64)
 }
 
-// WriteText writes the rows as an aligned table.
+// WriteText writes the rows as a text table with aligned columns.
 func (r *Result) WriteText(w io.Writer) error {
 	fmt.Fprintf(w, "%s\nseeds %v; median, least and greatest value over the seeds\n\n", r.Experiment.Title, r.Seeds)
-	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	variant, metric := "", ""
 	for _, row := range r.Rows {
 		if row.Variant != variant || row.Metric != metric {
@@ -32,31 +32,31 @@
 			if variant != "" {
 				title = variant + ": " + metric
 			}
-			fmt.Fprintf(tw, "%s\t\t\t\t\n", title)
+			fmt.Fprintf(table, "%s\t\t\t\t\n", title)
 		}
-		fmt.Fprintf(tw, "  %s\t%.4g\t%.4g .. %.4g\t%s\t%s\n", row.Policy, row.Median(), row.Min(), row.Max(), row.Goal, row.Verdict())
+		fmt.Fprintf(table, "  %s\t%.4g\t%.4g .. %.4g\t%s\t%s\n", row.Policy, row.Median(), row.Min(), row.Max(), row.Goal, row.Verdict())
 	}
-	return tw.Flush()
+	return table.Flush()
 }
 
-// WriteCSV writes one line per row, with the value of each seed.
+// WriteCSV writes one CSV record for each row, with the value of each seed.
 func (r *Result) WriteCSV(w io.Writer) error {
-	cw := csv.NewWriter(w)
-	head := []string{"experiment", "variant", "policy", "metric", "goal", "verdict", "median"}
+	writer := csv.NewWriter(w)
+	header := []string{"experiment", "variant", "policy", "metric", "goal", "verdict", "median"}
 	for _, s := range r.Seeds {
-		head = append(head, fmt.Sprint("seed ", s))
+		header = append(header, fmt.Sprint("seed ", s))
 	}
-	_ = cw.Write(head) // the error is kept and returned below
+	_ = writer.Write(header) // an error is returned by Error below
 	for _, row := range r.Rows {
-		line := []string{r.Experiment.Name, row.Variant, row.Policy, row.Metric,
+		record := []string{r.Experiment.Name, row.Variant, row.Policy, row.Metric,
 			strings.ReplaceAll(row.Goal.String(), " ", ""), row.Verdict(), formatValue(row.Median())}
 		for _, v := range row.Values {
-			line = append(line, formatValue(v))
+			record = append(record, formatValue(v))
 		}
-		_ = cw.Write(line)
+		_ = writer.Write(record)
 	}
-	cw.Flush()
-	return cw.Error()
+	writer.Flush()
+	return writer.Error()
 }
 
 func formatValue(v float64) string { return strconv.FormatFloat(v, 'f', 4, 64) }
--- a/internal/experiment/sim.go
+++ b/internal/experiment/sim.go
@@ -1,7 +1,7 @@
 // Package experiment compares scheduling policies in a small deterministic
-// model: entry instances, backend servers with a few slots, callers, and fixed
-// delays between them, driven by a virtual clock and a seed. It is a model of
-// scheduling, not of a network or a cluster.
+// model of load balancer instances, backend servers with a few slots, and
+// callers, with fixed delays between them. A virtual clock and a seed drive it.
+// It models scheduling only, not the network or the operation of a cluster.
 package experiment
 
 import (
@@ -12,12 +12,11 @@
 	"arbutusdock.example/arbutusdock/internal/ids"
 )
 
-// epoch is the virtual time at which a run starts, bootTime after the instances
-// did. It is not zero because a
-// zero time means "never" in places.
+// epoch is the virtual time at which a run starts, bootTime after the start of
+// the instances. It is not zero, because some code uses a zero time as "never".
 const epoch = ids.Time(1_000_000 * int64(time.Second))
 
-// sim is the virtual clock and its queue of events.
+// sim is a discrete event simulation: a virtual clock and a queue of events.
 type sim struct {
 	now    ids.Time
 	events eventqueue.Queue
@@ -31,9 +30,10 @@
 // elapsed returns the virtual time since the start of the run.
 func (s *sim) elapsed() time.Duration { return s.now.Sub(epoch) }
 
-// after schedules do to run d from now.
+// after schedules do to run after d.
 func (s *sim) after(d time.Duration, do func()) { s.at(s.now.Add(d), do) }
 
+// at schedules do to run at time t, or now if t is in the past.
 func (s *sim) at(t ids.Time, do func()) { s.events.Push(max(t, s.now), do) }
 
 // run processes events until the virtual time d after the start.
@@ -52,12 +52,12 @@
 
 // every calls do at the given interval for the rest of the run.
 func (s *sim) every(interval time.Duration, do func()) {
-	var again func()
-	again = func() {
+	var tick func()
+	tick = func() {
 		do()
-		s.after(interval, again)
+		s.after(interval, tick)
 	}
-	s.after(interval, again)
+	s.after(interval, tick)
 }
 
 // between returns a uniformly distributed duration in [lo, hi).
--- a/internal/experiment/stats.go
+++ b/internal/experiment/stats.go
@@ -10,18 +10,18 @@
 // windowLength is the resolution of the time series of a run.
 const windowLength = 100 * time.Millisecond
 
-// window counts what happened in one part of a run.
+// window holds the counts of one time window of a run.
 type window struct {
-	firstSent       int // first transmissions
-	transmissions   int // all transmissions
-	served          int // responses, by time of completion
-	refused         int // refusals, by time of refusal
-	work            time.Duration
-	partnerWork     map[ids.Partner]time.Duration // work by partner
-	latencies       []time.Duration               // of short requests first sent in this window and served at once
-	notServedAtOnce int                           // short requests first sent in this window and not served at once
-	retries         int                           // attempts after a refusal
-	retriesServed   int                           // of these, served
+	firstSent            int                           // first transmissions of requests
+	transmissions        int                           // all transmissions
+	served               int                           // responses, by time of completion
+	refused              int                           // refusals, by time of refusal
+	work                 time.Duration                 // run time of served requests
+	partnerWork          map[ids.Partner]time.Duration // run time of served requests, by partner
+	latencies            []time.Duration               // of short requests first sent in this window and served on the first attempt
+	firstAttemptUnserved int                           // short requests first sent in this window and not served on the first attempt
+	retries              int                           // attempts after a refusal
+	retriesServed        int                           // attempts after a refusal that were served
 }
 
 // stats are the measurements of one run.
@@ -30,17 +30,17 @@
 	windows                   []window
 	short                     *hdrhistogram.Histogram // µs from first transmission to response
 	long                      *hdrhistogram.Histogram
-	measureFrom, measureTo    time.Duration // the histograms hold requests sent in between
+	measureFrom, measureTo    time.Duration // the histograms contain requests first sent in this time span
 	relays                    int
 	checks                    int
-	duplicates                int // responses to requests that were settled before
-	failures                  int // settled without a response or refusal
+	duplicates                int // responses that callers ignored, such as those to settled requests
+	failures                  int // requests that were neither served nor refused
 	refusals                  int
-	refusalsWithoutRetryAfter int // refusals without a time to come back
+	refusalsWithoutRetryAfter int // refusals without a retry-after time
 	redispatched              int // requests that were sent to backend servers more than once
 	requests                  int
-	longSent                  int           // long requests first sent in between
-	longestWait               time.Duration // of a long request, beyond its run time
+	longSent                  int           // long requests first sent between measureFrom and measureTo
+	longestWait               time.Duration // longest latency of a long request, without its run time
 }
 
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 300_000_000, 3) }
@@ -80,19 +80,19 @@
 		s.refusalsWithoutRetryAfter++
 	}
 	if r.attempts == 1 && !r.long {
-		s.windowAt(r.firstSent).notServedAtOnce++
+		s.windowAt(r.firstSent).firstAttemptUnserved++
 	}
 }
 
-func (s *stats) recordSettled(r *request, a callerResult) {
+func (s *stats) recordSettled(r *request, result callerResult) {
 	if r.dispatches > 1 {
 		s.redispatched++
 	}
-	if a != served {
-		if a == failed {
+	if result != served {
+		if result == failed {
 			s.failures++
 			if r.attempts == 1 && !r.long {
-				s.windowAt(r.firstSent).notServedAtOnce++
+				s.windowAt(r.firstSent).firstAttemptUnserved++
 			}
 		}
 		return
@@ -104,8 +104,8 @@
 	if r.attempts > 1 {
 		s.windowAt(r.attemptStart).retriesServed++
 	} else if !r.long {
-		first := s.windowAt(r.firstSent)
-		first.latencies = append(first.latencies, s.cluster.now.Sub(r.firstSent))
+		sentWindow := s.windowAt(r.firstSent)
+		sentWindow.latencies = append(sentWindow.latencies, s.cluster.now.Sub(r.firstSent))
 	}
 	if sent := r.firstSent.Sub(epoch); sent < s.measureFrom || sent >= s.measureTo {
 		return
@@ -115,11 +115,11 @@
 		h = s.long
 		s.longestWait = max(s.longestWait, s.cluster.now.Sub(r.firstSent)-r.runTime)
 	}
-	// The highest trackable value is beyond any deadline, so it cannot fail.
+	// This cannot fail, since the highest trackable value exceeds any deadline.
 	_ = h.RecordValue(max(1, s.cluster.now.Sub(r.firstSent).Microseconds()))
 }
 
-// sum adds up the windows of a time span.
+// sum returns the totals of the windows in [from, to).
 func (s *stats) sum(from, to time.Duration) window {
 	total := window{partnerWork: make(map[ids.Partner]time.Duration)}
 	for i := int(from / windowLength); i < int(to/windowLength) && i < len(s.windows); i++ {
@@ -129,7 +129,7 @@
 		total.served += w.served
 		total.refused += w.refused
 		total.work += w.work
-		total.notServedAtOnce += w.notServedAtOnce
+		total.firstAttemptUnserved += w.firstAttemptUnserved
 		total.retries += w.retries
 		total.retriesServed += w.retriesServed
 		total.latencies = append(total.latencies, w.latencies...)
@@ -140,28 +140,29 @@
 	return total
 }
 
-// normal reports whether a window is like normal service: at least 99% of the
-// requests were served at once and their 99th percentile is below limit.
+// isNormal reports whether service in the window was normal: at least 99% of the
+// short requests were served on the first attempt, and the 99th percentile of
+// their latency is at most limit.
 func (w *window) isNormal(limit time.Duration) bool {
-	total := len(w.latencies) + w.notServedAtOnce
+	total := len(w.latencies) + w.firstAttemptUnserved
 	return float64(len(w.latencies)) >= 0.99*float64(total) && percentile(w.latencies, 0.99) <= limit
 }
 
-// recovery returns the time from since until the first window of length span
-// from which service stays normal for the following check.
-func (s *stats) recoveryTime(since, check time.Duration, limit time.Duration) time.Duration {
+// recoveryTime returns the time from start to the end of the last window of
+// length span, within period after start, in which service was not normal.
+func (s *stats) recoveryTime(start, period time.Duration, limit time.Duration) time.Duration {
 	const span = 5 * windowLength
-	end := since
-	for t := since; t+span <= since+check; t += windowLength {
+	end := start
+	for t := start; t+span <= start+period; t += windowLength {
 		if w := s.sum(t, t+span); !w.isNormal(limit) {
 			end = t + span
 		}
 	}
-	return end - since
+	return end - start
 }
 
-// imbalance returns the peak over the mean of the slot time used by the
-// backend servers since the last reset.
+// imbalance returns the greatest slot time of a live backend server since the
+// last call of resetBusyTime, divided by the mean.
 func (c *cluster) imbalance() float64 {
 	var peak, total time.Duration
 	n := 0
@@ -180,7 +181,7 @@
 	return float64(peak) * float64(n) / float64(total)
 }
 
-// resetBusy begins a new measurement of imbalance.
+// resetBusyTime starts a new measurement of imbalance.
 func (c *cluster) resetBusyTime() {
 	for _, b := range c.backends {
 		b.updateBusyTime()
--- a/internal/experiment/workload.go
+++ b/internal/experiment/workload.go
@@ -7,32 +7,33 @@
 	"arbutusdock.example/arbutusdock/internal/ids"
 )
 
-// mix describes the requests of one group of callers.
+// trafficMix describes the requests of a group of callers.
 type trafficMix struct {
 	partner      ids.Partner
 	meanShortRun time.Duration
-	longShare    float64 // part of the requests that run longFactor times longer
-	// hidden makes long requests use the paths of short ones, so that nothing
-	// about them can be predicted.
+	longShare    float64 // fraction of the requests that run longFactor times longer
+	// unpredictable makes long requests use the paths of short ones, so that the
+	// run time cannot be predicted from the path.
 	unpredictable bool
-	// claims is the part of the requests that are not idempotent.
+	// nonIdempotentShare is the fraction of the short requests that are not
+	// idempotent.
 	nonIdempotentShare float64
-	// load is the offered work of first attempts as a share of the capacity
-	// of all slots, by time since the start.
+	// load returns the offered work of first attempts as a fraction of the
+	// capacity of all slots, at a time since the start of the run.
 	load     func(time.Duration) float64
-	peakLoad float64 // greatest value of load
+	peakLoad float64 // upper bound of load
 }
 
 const (
 	longFactor = 50
 	shortPaths = 40
 	longPaths  = 10
-	// Run times are gamma distributed with this shape: a coefficient of
-	// variation of one half.
+	// runShape is the shape of the gamma distribution of run times. It gives a
+	// coefficient of variation of one half.
 	runShape = 4
 )
 
-// mean returns the mean run time of a request.
+// meanRunTime returns the mean run time of all requests.
 func (m *trafficMix) meanRunTime() time.Duration {
 	return time.Duration(float64(m.meanShortRun) * (1 - m.longShare + m.longShare*longFactor))
 }
@@ -41,13 +42,13 @@
 	return func(time.Duration) float64 { return v }, v
 }
 
-// swing rises from low to high within ramp at time from, holds for hold, and
-// falls back within ramp.
+// loadSwing returns a load that rises from low to high within ramp, starting at
+// time from, stays there for hold, and falls back to low within ramp.
 func loadSwing(low, high float64, from, ramp, hold time.Duration) func(time.Duration) float64 {
 	return func(t time.Duration) float64 {
-		up := float64(t-from) / float64(ramp)
-		down := float64(from+2*ramp+hold-t) / float64(ramp)
-		return low + (high-low)*min(1, max(0, min(up, down)))
+		rising := float64(t-from) / float64(ramp)
+		falling := float64(from+2*ramp+hold-t) / float64(ramp)
+		return low + (high-low)*min(1, max(0, min(rising, falling)))
 	}
 }
 
@@ -59,25 +60,26 @@
 	runTime         time.Duration
 	long            bool
 	nonIdempotent   bool
-	firstSent       ids.Time // first transmission
-	attemptStart    ids.Time // last transmission that is not a repeat
-	attempts        int      // attempts after a refusal included
+	firstSent       ids.Time // time of the first transmission
+	attemptStart    ids.Time // start of the current attempt
+	attempts        int      // number of attempts, including those after a refusal
 	retransmissions int      // retransmissions of the current attempt
-	settled         bool     // answered, refused for good or given up
+	settled         bool     // served, failed, or refused at the last attempt
 	acked           bool
-	receiver        *instance // has the request
-	retryPending    bool      // refused, waiting for the time to come back
-	// Used with the core only: the admission token, the number in the CoAP
-	// token, and the message id with the attempt that it belongs to.
+	currentInstance *instance // instance that has the request
+	retryPending    bool      // refused, and waiting for the retry-after time
+	// The fields below are used by coreNode only: the admission token, the number
+	// in the CoAP token, the message id, and the attempt and length of the
+	// admission token for which it was assigned.
 	echo       []byte
 	serial     uint32
 	messageID  uint16
 	messageKey [2]int
 
-	dispatches int // times that it was sent to a backend server
+	dispatches int // number of times it was sent to a backend server
 }
 
-// draw returns a new request of m.
+// newRequest returns a random request of m.
 func (m *trafficMix) newRequest(s *sim, callers int) *request {
 	r := &request{traffic: m, callerIndex: s.rng.IntN(callers)}
 	r.long = s.rng.Float64() < m.longShare
@@ -94,8 +96,8 @@
 	return r
 }
 
-// gamma draws a run time with the given mean: the sum of runShape exponential
-// times.
+// gammaRunTime returns a gamma distributed run time with the given mean: the sum
+// of runShape exponentially distributed times.
 func gammaRunTime(s *sim, mean time.Duration) time.Duration {
 	product := 1.0
 	for range runShape {
@@ -104,22 +106,22 @@
 	return time.Duration(-math.Log(product) / runShape * float64(mean))
 }
 
-// generate schedules the Poisson arrivals of m by thinning and calls issue for
-// each.
+// generate schedules arrivals of m as a Poisson process with the rate of
+// m.load, by thinning, and calls issue for each.
 func (m *trafficMix) generate(s *sim, slots int, end time.Duration, issue func()) {
-	highest := m.peakLoad * float64(slots) / m.meanRunTime().Seconds()
-	if highest <= 0 {
+	peakRate := m.peakLoad * float64(slots) / m.meanRunTime().Seconds()
+	if peakRate <= 0 {
 		return
 	}
-	var next func()
-	next = func() {
+	var arrive func()
+	arrive = func() {
 		if s.elapsed() >= end {
 			return
 		}
 		if s.rng.Float64()*m.peakLoad < m.load(s.elapsed()) {
 			issue()
 		}
-		s.after(time.Duration(s.rng.ExpFloat64()/highest*float64(time.Second)), next)
+		s.after(time.Duration(s.rng.ExpFloat64()/peakRate*float64(time.Second)), arrive)
 	}
-	s.after(0, next)
+	s.after(0, arrive)
 }
