--- a/cmd/capacity/main.go
+++ b/cmd/capacity/main.go
@@ -1,5 +1,6 @@
-// Command capacity measures how the costs of an instance grow and writes the
-// slopes, and the figures that they give at the target size.
+// Command capacity measures how the resource use of an instance grows with the
+// size of the deployment. It writes the slopes and the figures computed from
+// them for the target size.
 package main
 
 import (
@@ -17,8 +18,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// memoryLimit is where the garbage collector begins to work harder; the run
-// needs about a tenth of it.
+// memoryLimit is the soft memory limit of the Go runtime, above which the
+// garbage collector runs more often. A run needs about a tenth of it.
 const memoryLimit = 6 << 30
 
 type arguments struct {
@@ -44,7 +45,7 @@
 	debug.SetMemoryLimit(memoryLimit)
 	measures := capacity.All()
 	if len(args.Only) > 0 {
-		measures = selected(measures, args.Only)
+		measures = selectMeasures(measures, args.Only)
 		return capacity.WriteSlopes(os.Stdout, capacity.RunAll(measures, args.Limit))
 	}
 	if args.From != "" {
@@ -54,13 +55,13 @@
 	if err := os.MkdirAll(args.Out, 0o755); err != nil {
 		return eris.Wrap(err, "create output directory")
 	}
-	if err := write(filepath.Join(args.Out, "slopes.csv"), results, capacity.WriteCSV); err != nil {
+	if err := writeFile(filepath.Join(args.Out, "slopes.csv"), results, capacity.WriteCSV); err != nil {
 		return err
 	}
-	if err := write(filepath.Join(args.Out, "slopes.md"), results, capacity.WriteSlopes); err != nil {
+	if err := writeFile(filepath.Join(args.Out, "slopes.md"), results, capacity.WriteSlopes); err != nil {
 		return err
 	}
-	if err := target(args, results); err != nil {
+	if err := writeTarget(args, results); err != nil {
 		return err
 	}
 	return capacity.WriteTarget(os.Stdout, results)
@@ -76,12 +77,13 @@
 	if err != nil {
 		return err
 	}
-	return target(args, results)
+	return writeTarget(args, results)
 }
 
-// target writes the figures at the target size.
-func target(args *arguments, results []capacity.Result) error {
-	if err := write(filepath.Join(args.Out, "target.md"), results, capacity.WriteTarget); err != nil {
+// writeTarget writes the figures at the target size to target.md and updates the
+// table in the documentation page.
+func writeTarget(args *arguments, results []capacity.Result) error {
+	if err := writeFile(filepath.Join(args.Out, "target.md"), results, capacity.WriteTarget); err != nil {
 		return err
 	}
 	page, err := os.ReadFile(args.Page)
@@ -94,7 +96,7 @@
 	return eris.Wrap(os.WriteFile(args.Page, page, 0o644), "write page")
 }
 
-func selected(measures []capacity.Measure, prefixes []string) []capacity.Measure {
+func selectMeasures(measures []capacity.Measure, prefixes []string) []capacity.Measure {
 	var list []capacity.Measure
 	for _, m := range measures {
 		for _, p := range prefixes {
@@ -107,12 +109,12 @@
 	return list
 }
 
-func write(path string, results []capacity.Result, to func(io.Writer, []capacity.Result) error) error {
+func writeFile(path string, results []capacity.Result, encode func(io.Writer, []capacity.Result) error) error {
 	f, err := os.Create(path)
 	if err != nil {
-		return eris.Wrap(err, "create table")
+		return eris.Wrap(err, "create output file")
 	}
-	if err := to(f, results); err != nil {
+	if err := encode(f, results); err != nil {
 		f.Close()
 		return eris.Wrapf(err, "write %s", path)
 	}
--- a/internal/experiment/backend.go
+++ b/internal/experiment/backend.go
@@ -10,94 +10,98 @@
 	"arbutusdock.example/arbutusdock/internal/spread"
 )
 
-// backendQueue is the number of requests that a backend server queues before
-// it sheds load.
+// backendQueue is the queue length at which a backend server sheds further
+// requests.
 const backendQueue = 16
 
-// backend is a backend server: slots, a short queue, and a health endpoint
-// that may lie.
+// backend models a backend server with slots, a short queue, and a health
+// endpoint that may report a false state.
 type backend struct {
-	sim     *sim
-	index   int
-	target  config.Target
-	running int
-	queue   []*job
-	dead    bool // does not respond to requests
-	lies    bool // the health endpoint reports the opposite
-	cold    int  // requests that still run slowly after a cold start
+	sim          *sim
+	index        int
+	target       config.Target
+	running      int
+	queue        []*job
+	dead         bool // does not respond to requests
+	falseHealth  bool // the health endpoint reports the opposite of the real state
+	coldRequests int  // remaining requests that run slowly after a cold start
 
-	busy  time.Duration // slot time used since the last reset
-	since ids.Time      // of the last change of running
+	busyTime    time.Duration // slot time used since the last call of resetBusyTime
+	accountedAt ids.Time      // time up to which busyTime is complete
 }
 
-// job is one request at a backend server.
+// job is the processing of one request by a backend server.
 type job struct {
-	run     time.Duration
-	expires ids.Time
-	gone    bool // cancelled, or ended
-	done    func(spread.Outcome)
+	runTime   time.Duration
+	expires   ids.Time
+	ended     bool // completed, shed or cancelled
+	onOutcome func(spread.Outcome)
 }
 
-// coldFactor is how much longer a request runs on a cold backend server.
-const coldFactor = 3
+// coldSlowdown is the factor by which a request runs longer on a cold backend
+// server.
+const coldSlowdown = 3
 
 func newBackend(s *sim, seed uint64, index int) *backend {
-	return &backend{sim: s, index: index, since: s.now, target: config.Target{
-		Name: ids.Target(fmt.Sprintf("backend-%d-%02d", seed, index)), DataCentre: dataCentre, Slots: slotsPerTarget,
+	return &backend{sim: s, index: index, accountedAt: s.now, target: config.Target{
+		Name: ids.Target(fmt.Sprintf("backend-%d-%02d", seed, index)), DataCentre: dataCentre, Slots: slotsPerBackend,
 		Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 1, byte(index + 1)}), 5683),
 		Health:  fmt.Sprintf("http://127.0.1.%d:8080/health", index+1),
 	}}
 }
 
-// healthy is what the health endpoint reports.
-func (b *backend) healthy() bool { return b.dead == b.lies }
+// reportedHealth is the state that the health endpoint reports.
+func (b *backend) reportedHealth() bool { return b.dead == b.falseHealth }
 
-// account adds the slot time since the last change.
-func (b *backend) account() {
-	b.busy += time.Duration(b.running) * b.sim.now.Sub(b.since)
-	b.since = b.sim.now
+// updateBusyTime adds the slot time used since the previous call. It must be
+// called before running changes.
+func (b *backend) updateBusyTime() {
+	b.busyTime += time.Duration(b.running) * b.sim.now.Sub(b.accountedAt)
+	b.accountedAt = b.sim.now
 }
 
-// accept takes a job that has arrived. done is called with the outcome, unless
-// the backend server is dead or the job is cancelled.
+// accept handles a job that has arrived: it starts, queues or sheds it.
+// j.onOutcome is called with the outcome, unless the backend server is dead or
+// the job is cancelled.
 func (b *backend) accept(j *job) {
 	switch {
-	case b.dead || j.gone:
+	case b.dead || j.ended:
 	case b.running < b.target.Slots:
 		b.start(j)
 	case len(b.queue) < backendQueue:
 		b.queue = append(b.queue, j)
 	default:
-		j.gone = true
-		j.done(spread.Shed)
+		j.ended = true
+		j.onOutcome(spread.Shed)
 	}
 }
 
 func (b *backend) start(j *job) {
-	b.account()
+	b.updateBusyTime()
 	b.running++
-	run := j.run
-	if b.cold > 0 {
-		b.cold--
-		run *= coldFactor
+	runTime := j.runTime
+	if b.coldRequests > 0 {
+		b.coldRequests--
+		runTime *= coldSlowdown
 	}
-	b.sim.after(run, func() {
-		b.account()
+	b.sim.after(runTime, func() {
+		b.updateBusyTime()
 		b.running--
-		if !j.gone && !b.dead {
-			j.gone = true
-			j.done(spread.Success)
+		if !j.ended && !b.dead {
+			j.ended = true
+			j.onOutcome(spread.Success)
 		}
-		b.next()
+		b.startQueued()
 	})
 }
 
-// next starts the first queued job that has neither been cancelled nor expired.
-func (b *backend) next() {
+// startQueued fills the free slots with queued jobs that have neither been
+// cancelled nor expired.
+func (b *backend) startQueued() {
 	for b.running < b.target.Slots && len(b.queue) > 0 && !b.dead {
 		j := b.queue[0]
 		b.queue = b.queue[1:]
-		if !j.gone && b.sim.now.Before(j.expires) {
+		if !j.ended && b.sim.now.Before(j.expires) {
 			b.start(j)
 		}
 	}
