--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -49,8 +49,8 @@
 	self        core.Self
 	core        *core.Core
 	log         *slog.Logger
-	logWriter   *telemetry.Writer
-	traceWriter *telemetry.Writer // nil when no exporter is configured
+	logWriter   *telemetry.AsyncWriter
+	traceWriter *telemetry.AsyncWriter // nil when no exporter is configured
 	tracer      *telemetry.Tracer
 	metrics     *telemetry.Registry
 	reloader    *reload.Watcher
@@ -108,7 +108,7 @@
 	}
 	d := &Daemon{settings: s, clock: newClock(), metrics: telemetry.NewRegistry()}
 	d.ctx, d.cancel = context.WithCancel(context.Background())
-	d.logWriter = telemetry.NewWriter(stderr, logQueueSize)
+	d.logWriter = telemetry.NewAsyncWriter(stderr, logQueueSize)
 	level := new(slog.LevelVar)
 	level.Set(s.Log.Level)
 	d.log = telemetry.NewLogger(d.logWriter, level, s.Instance)
@@ -141,7 +141,7 @@
 		}
 		keysByID[k.ID] = key
 	}
-	return admission.NewKeyring(a.Sign, keysByID)
+	return admission.NewKeyring(a.SigningKey, keysByID)
 }
 
 func chooseRandomSeed(configured *uint64) (uint64, error) {
@@ -158,10 +158,10 @@
 func (d *Daemon) openTracer(stdout, stderr io.Writer) error {
 	var output io.Writer
 	if target := map[string]io.Writer{"stdout": stdout, "stderr": stderr}[d.settings.Trace.Exporter]; target != nil {
-		d.traceWriter = telemetry.NewWriter(target, logQueueSize)
+		d.traceWriter = telemetry.NewAsyncWriter(target, logQueueSize)
 		output = d.traceWriter
 	}
-	tracer, err := telemetry.NewTracer(output, d.settings.Trace.Sample, d.self.ID)
+	tracer, err := telemetry.NewTracer(output, d.settings.Trace.SampleRatio, d.self.ID)
 	d.tracer = tracer
 	return err
 }
@@ -205,8 +205,8 @@
 	s := &d.settings
 	d.addresses = newAddressBook(s.Seeds)
 	d.links = link.New(link.Config{
-		Self: s.Instance, LocalAddr: s.PeerListen.Addr(), Credentials: credentials, ControlBytesPerSecond: s.Link.ControlBudget, StartupBytes: s.Link.StartBytes, QueueCapacity: s.Link.Queue,
-		DataIdle: s.Link.DataIdle, Log: d.log, Metrics: d.metrics,
+		Self: s.Instance, LocalAddr: s.PeerListen.Addr(), Credentials: credentials, ControlBytesPerSecond: s.Link.ControlBytesPerSecond, StartupBytes: s.Link.StartupBurstBytes, QueueCapacity: s.Link.QueueLength,
+		DataIdle: s.Link.DataIdleTimeout, Log: d.log, Metrics: d.metrics,
 		LookupAddress: d.addresses.lookup,
 		Receive: func(m *peerwire.Message) {
 			if m.Lane() == peerwire.Data {
@@ -232,7 +232,7 @@
 		"caller": d.callerPackets.Stats, "backend": d.backendPackets.Stats, "peer": d.dataMessages.Stats, "signal": d.controlMessages.Stats, "control": d.controlEvents.Stats,
 		"span": d.spans.Stats, "log": d.logWriter.Stats, "write_backend": d.backendWriter.ring.Stats,
 	} {
-		d.metrics.Ring(name, stats)
+		d.metrics.RegisterRing(name, stats)
 	}
 }
 
--- a/internal/daemon/effects.go
+++ b/internal/daemon/effects.go
@@ -39,7 +39,7 @@
 	case core.Span:
 		l.recordSpan(effect)
 	case core.Log:
-		d.log.Log(d.ctx, logLevel(effect.Event), effect.Event, telemetry.Details(effect.Detail)...)
+		d.log.Log(d.ctx, logLevel(effect.Event), effect.Event, telemetry.ParseDetail(effect.Detail)...)
 	case core.Exit:
 		l.exitRequested = true
 	}
@@ -63,7 +63,7 @@
 		return
 	}
 	if !l.d.spans.Push(telemetry.Hop{
-		Name: spanNames[effect.Stage], Request: effect.TraceID, Service: effect.Service, Target: effect.Target,
+		Name: spanNames[effect.Stage], RequestID: effect.TraceID, Service: effect.Service, Target: effect.Target,
 		Start: time.Unix(0, int64(effect.Start)), Duration: effect.Duration,
 	}) {
 		l.spansDropped.Add(1)
--- a/internal/daemon/watch.go
+++ b/internal/daemon/watch.go
@@ -50,10 +50,10 @@
 			case err != nil && !failing:
 				w.log.Warn("platform-read-failed", "after", request.after, "error", err)
 			case err == nil && failing:
-				w.log.Info("platform-read-recovered", "upto", page.Upto)
+				w.log.Info("platform-read-recovered", "upto", page.UpToRevision)
 			}
 			failing = err != nil
-			w.pushEvent(controlEvent{config: &core.ConfigEvent{Documents: page.Documents, Revision: page.Upto, Err: err}})
+			w.pushEvent(controlEvent{config: &core.ConfigEvent{Documents: page.Documents, Revision: page.UpToRevision, Err: err}})
 		}
 	}
 }
--- a/internal/experiment/platform.go
+++ b/internal/experiment/platform.go
@@ -12,27 +12,28 @@
 
 // platform is the configuration service of the model.
 type platform struct {
-	c         *cluster
-	published *config.Resolved   // the last publication
-	documents []core.Publication // latest of each key
-	revision  ids.Revision
-	watches   []watch
+	cluster       *cluster
+	lastPublished *config.Resolved   // the last publication
+	documents     []core.Publication // latest version of each key
+	revision      ids.Revision
+	watches       []watch
 }
 
-// watch is a pending watch of an instance.
+// watch is a pending configuration watch of an instance.
 type watch struct {
-	n     *coreNode
-	after ids.Revision
+	node          *coreNode
+	afterRevision ids.Revision
 }
 
 const platformDelay = 3 * time.Millisecond
 
-// publish publishes the profile and the service of r once.
+// publish publishes the profile and the service of r, unless r is the last
+// configuration published, and answers the pending watches.
 func (p *platform) publish(r *config.Resolved) {
-	if p.published == r {
+	if p.lastPublished == r {
 		return
 	}
-	p.published = r
+	p.lastPublished = r
 	p.revision++
 	profile := core.Publication{Key: "profile/" + r.Profile.Name, Revision: p.revision, Value: []byte(profileText(&r.Profile))}
 	p.revision++
@@ -41,32 +42,33 @@
 	pending := p.watches
 	p.watches = nil
 	for _, w := range pending {
-		p.respond(w.n, w.after)
+		p.sendConfig(w.node, w.afterRevision)
 	}
 }
 
-// read answers a read, and a watch once there is something newer.
-func (p *platform) read(n *coreNode, after ids.Revision, wait bool) {
+// readConfig answers a read at once, and a watch when there is a revision newer
+// than after.
+func (p *platform) readConfig(n *coreNode, after ids.Revision, wait bool) {
 	if wait && after >= p.revision {
 		p.watches = append(p.watches, watch{n, after})
 		return
 	}
-	p.respond(n, after)
+	p.sendConfig(n, after)
 }
 
-func (p *platform) respond(n *coreNode, after ids.Revision) {
+func (p *platform) sendConfig(n *coreNode, after ids.Revision) {
 	e := &core.ConfigEvent{Revision: p.revision}
 	for _, d := range p.documents {
 		if d.Revision > after {
 			e.Documents = append(e.Documents, d)
 		}
 	}
-	p.c.after(platformDelay, func() {
-		n.call(func(now ids.Time, out *core.Effects) { n.core.HandleConfig(now, e, out) })
+	p.cluster.after(platformDelay, func() {
+		n.invoke(func(now ids.Time, out *core.Effects) { n.core.HandleConfig(now, e, out) })
 	})
 }
 
-// profileText returns a profile in the form in which operators publish it.
+// profileText returns a profile as the document that operators publish.
 func profileText(p *config.Profile) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[spread]\nlong_share = %g\nlong_factor = %g\nslow_start_ms = %d\n\n",
@@ -82,7 +84,7 @@
 	return b.String()
 }
 
-// serviceText returns a service in the form in which operators publish it.
+// serviceText returns a service as the document that operators publish.
 func serviceText(s *config.Service) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "address = \"0.0.0.0\"\nport = %d\nprofile = %q\n", s.Port, s.Profile)
--- a/internal/experiment/stats.go
+++ b/internal/experiment/stats.go
@@ -10,158 +10,159 @@
 // windowLength is the resolution of the time series of a run.
 const windowLength = 100 * time.Millisecond
 
-// window counts what happened in one part of a run.
+// window holds the counts of one time window of a run.
 type window struct {
-	first    int // first transmissions
-	sent     int // all transmissions
-	served   int // responses, by time of completion
-	refused  int // refusals, by time of refusal
-	work     time.Duration
-	partner  map[ids.Partner]time.Duration // work by partner
-	latency  []time.Duration               // of short requests first sent in this window and served at once
-	unserved int                           // short requests first sent in this window and not served at once
-	returned int                           // attempts after a refusal
-	returnOK int                           // of these, served
+	firstSent            int                           // first transmissions of requests
+	transmissions        int                           // all transmissions
+	served               int                           // responses, by time of completion
+	refused              int                           // refusals, by time of refusal
+	work                 time.Duration                 // run time of served requests
+	partnerWork          map[ids.Partner]time.Duration // run time of served requests, by partner
+	latencies            []time.Duration               // of short requests first sent in this window and served on the first attempt
+	firstAttemptUnserved int                           // short requests first sent in this window and not served on the first attempt
+	retries              int                           // attempts after a refusal
+	retriesServed        int                           // attempts after a refusal that were served
 }
 
 // stats are the measurements of one run.
 type stats struct {
-	c           *cluster
-	windows     []window
-	short       *hdrhistogram.Histogram // µs from first transmission to response
-	long        *hdrhistogram.Histogram
-	from, to    time.Duration // the histograms hold requests sent in between
-	relays      int
-	checks      int
-	duplicates  int // responses to requests that were settled before
-	failures    int // settled without a response or refusal
-	refusals    int
-	noTime      int // refusals without a time to come back
-	repeated    int // requests that were sent to backend servers more than once
-	requests    int
-	longSent    int           // long requests first sent in between
-	longestWait time.Duration // of a long request, beyond its run time
+	cluster                   *cluster
+	windows                   []window
+	short                     *hdrhistogram.Histogram // µs from first transmission to response
+	long                      *hdrhistogram.Histogram
+	measureFrom, measureTo    time.Duration // the histograms contain requests first sent in this time span
+	relays                    int
+	checks                    int
+	duplicates                int // responses that callers ignored, such as those to settled requests
+	failures                  int // requests that were neither served nor refused
+	refusals                  int
+	refusalsWithoutRetryAfter int // refusals without a retry-after time
+	redispatched              int // requests that were sent to backend servers more than once
+	requests                  int
+	longSent                  int           // long requests first sent between measureFrom and measureTo
+	longestWait               time.Duration // longest latency of a long request, without its run time
 }
 
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 300_000_000, 3) }
 
 func newStats(c *cluster) *stats {
-	return &stats{c: c, short: newHistogram(), long: newHistogram(), to: time.Hour}
+	return &stats{cluster: c, short: newHistogram(), long: newHistogram(), measureTo: time.Hour}
 }
 
-func (s *stats) at(t ids.Time) *window {
+func (s *stats) windowAt(t ids.Time) *window {
 	i := int(t.Sub(epoch) / windowLength)
 	for len(s.windows) <= i {
-		s.windows = append(s.windows, window{partner: make(map[ids.Partner]time.Duration)})
+		s.windows = append(s.windows, window{partnerWork: make(map[ids.Partner]time.Duration)})
 	}
 	return &s.windows[i]
 }
 
-func (s *stats) first(r *request) {
+func (s *stats) recordFirst(r *request) {
 	s.requests++
-	if sent := s.c.elapsed(); r.long && sent >= s.from && sent < s.to {
+	if sent := s.cluster.elapsed(); r.long && sent >= s.measureFrom && sent < s.measureTo {
 		s.longSent++
 	}
-	s.at(s.c.now).first++
+	s.windowAt(s.cluster.now).firstSent++
 }
 
-func (s *stats) transmitted(r *request) {
-	w := s.at(s.c.now)
-	w.sent++
-	if r.tries > 1 && r.repeats == 0 {
-		w.returned++
+func (s *stats) recordTransmission(r *request) {
+	w := s.windowAt(s.cluster.now)
+	w.transmissions++
+	if r.attempts > 1 && r.retransmissions == 0 {
+		w.retries++
 	}
 }
 
-func (s *stats) refusal(r *request, retryAfter time.Duration) {
+func (s *stats) recordRefusal(r *request, retryAfter time.Duration) {
 	s.refusals++
-	s.at(s.c.now).refused++
+	s.windowAt(s.cluster.now).refused++
 	if retryAfter <= 0 {
-		s.noTime++
+		s.refusalsWithoutRetryAfter++
 	}
-	if r.tries == 1 && !r.long {
-		s.at(r.sent).unserved++
+	if r.attempts == 1 && !r.long {
+		s.windowAt(r.firstSent).firstAttemptUnserved++
 	}
 }
 
-func (s *stats) settled(r *request, a answer) {
-	if r.dispatched > 1 {
-		s.repeated++
+func (s *stats) recordSettled(r *request, result callerResult) {
+	if r.dispatches > 1 {
+		s.redispatched++
 	}
-	if a != served {
-		if a == failed {
+	if result != served {
+		if result == failed {
 			s.failures++
-			if r.tries == 1 && !r.long {
-				s.at(r.sent).unserved++
+			if r.attempts == 1 && !r.long {
+				s.windowAt(r.firstSent).firstAttemptUnserved++
 			}
 		}
 		return
 	}
-	w := s.at(s.c.now)
+	w := s.windowAt(s.cluster.now)
 	w.served++
-	w.work += r.run
-	w.partner[r.mix.partner] += r.run
-	if r.tries > 1 {
-		s.at(r.attempt).returnOK++
+	w.work += r.runTime
+	w.partnerWork[r.traffic.partner] += r.runTime
+	if r.attempts > 1 {
+		s.windowAt(r.attemptStart).retriesServed++
 	} else if !r.long {
-		first := s.at(r.sent)
-		first.latency = append(first.latency, s.c.now.Sub(r.sent))
+		sentWindow := s.windowAt(r.firstSent)
+		sentWindow.latencies = append(sentWindow.latencies, s.cluster.now.Sub(r.firstSent))
 	}
-	if sent := r.sent.Sub(epoch); sent < s.from || sent >= s.to {
+	if sent := r.firstSent.Sub(epoch); sent < s.measureFrom || sent >= s.measureTo {
 		return
 	}
 	h := s.short
 	if r.long {
 		h = s.long
-		s.longestWait = max(s.longestWait, s.c.now.Sub(r.sent)-r.run)
+		s.longestWait = max(s.longestWait, s.cluster.now.Sub(r.firstSent)-r.runTime)
 	}
-	// The highest trackable value is beyond any deadline, so it cannot fail.
-	_ = h.RecordValue(max(1, s.c.now.Sub(r.sent).Microseconds()))
+	// This cannot fail, since the highest trackable value exceeds any deadline.
+	_ = h.RecordValue(max(1, s.cluster.now.Sub(r.firstSent).Microseconds()))
 }
 
-// sum adds up the windows of a time span.
+// sum returns the totals of the windows in [from, to).
 func (s *stats) sum(from, to time.Duration) window {
-	total := window{partner: make(map[ids.Partner]time.Duration)}
+	total := window{partnerWork: make(map[ids.Partner]time.Duration)}
 	for i := int(from / windowLength); i < int(to/windowLength) && i < len(s.windows); i++ {
 		w := &s.windows[i]
-		total.first += w.first
-		total.sent += w.sent
+		total.firstSent += w.firstSent
+		total.transmissions += w.transmissions
 		total.served += w.served
 		total.refused += w.refused
 		total.work += w.work
-		total.unserved += w.unserved
-		total.returned += w.returned
-		total.returnOK += w.returnOK
-		total.latency = append(total.latency, w.latency...)
-		for p, d := range w.partner {
-			total.partner[p] += d
+		total.firstAttemptUnserved += w.firstAttemptUnserved
+		total.retries += w.retries
+		total.retriesServed += w.retriesServed
+		total.latencies = append(total.latencies, w.latencies...)
+		for p, d := range w.partnerWork {
+			total.partnerWork[p] += d
 		}
 	}
 	return total
 }
 
-// normal reports whether a window is like normal service: at least 99% of the
-// requests were served at once and their 99th percentile is below limit.
-func (w *window) normal(limit time.Duration) bool {
-	total := len(w.latency) + w.unserved
-	return float64(len(w.latency)) >= 0.99*float64(total) && percentile(w.latency, 0.99) <= limit
+// isNormal reports whether service in the window was normal: at least 99% of the
+// short requests were served on the first attempt, and the 99th percentile of
+// their latency is at most limit.
+func (w *window) isNormal(limit time.Duration) bool {
+	total := len(w.latencies) + w.firstAttemptUnserved
+	return float64(len(w.latencies)) >= 0.99*float64(total) && percentile(w.latencies, 0.99) <= limit
 }
 
-// recovery returns the time from since until the first window of length span
-// from which service stays normal for the following check.
-func (s *stats) recovery(since, check time.Duration, limit time.Duration) time.Duration {
+// recoveryTime returns the time from start to the end of the last window of
+// length span, within period after start, in which service was not normal.
+func (s *stats) recoveryTime(start, period time.Duration, limit time.Duration) time.Duration {
 	const span = 5 * windowLength
-	end := since
-	for t := since; t+span <= since+check; t += windowLength {
-		if w := s.sum(t, t+span); !w.normal(limit) {
+	end := start
+	for t := start; t+span <= start+period; t += windowLength {
+		if w := s.sum(t, t+span); !w.isNormal(limit) {
 			end = t + span
 		}
 	}
-	return end - since
+	return end - start
 }
 
-// imbalance returns the peak over the mean of the slot time used by the
-// backend servers since the last reset.
+// imbalance returns the greatest slot time of a live backend server since the
+// last call of resetBusyTime, divided by the mean.
 func (c *cluster) imbalance() float64 {
 	var peak, total time.Duration
 	n := 0
@@ -169,9 +170,9 @@
 		if b.dead {
 			continue
 		}
-		b.account()
-		peak = max(peak, b.busy)
-		total += b.busy
+		b.updateBusyTime()
+		peak = max(peak, b.busyTime)
+		total += b.busyTime
 		n++
 	}
 	if total == 0 {
@@ -180,10 +181,10 @@
 	return float64(peak) * float64(n) / float64(total)
 }
 
-// resetBusy begins a new measurement of imbalance.
-func (c *cluster) resetBusy() {
+// resetBusyTime starts a new measurement of imbalance.
+func (c *cluster) resetBusyTime() {
 	for _, b := range c.backends {
-		b.account()
-		b.busy = 0
+		b.updateBusyTime()
+		b.busyTime = 0
 	}
 }
