--- a/internal/capacity/links.go
+++ b/internal/capacity/links.go
@@ -59,7 +59,7 @@
 	credentials, err := link.LoadCredentials(id, filepath.Join(l.dir, "ca.crt"),
 		filepath.Join(l.dir, string(id)+".crt"), filepath.Join(l.dir, string(id)+".key"))
 	panicOnError(err)
-	m := link.New(link.Config{Self: id, Credentials: credentials, ControlBytesPerSecond: 1 << 20, QueueCapacity: 1024, DataIdle: time.Minute,
+	m := link.New(link.Config{Self: id, Credentials: credentials, ControlBytesPerSecond: 1 << 20, QueueCapacity: 1024, DataIdleTimeout: time.Minute,
 		Log: slog.New(slog.DiscardHandler), Metrics: telemetry.NewRegistry(),
 		LookupAddress: func(id ids.Instance) (string, bool) {
 			l.mu.Lock()
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -26,15 +26,15 @@
 // the writer, back to the sender, with at most 64 datagrams in flight.
 func BenchmarkSocketPath(b *testing.B) {
 	const maxInFlight = 64
-	in, service := ring.New[*packet](4096), ids.Service("counter")
+	receiveQueue, service := ring.New[*packet](4096), ids.Service("counter")
 	address := netip.AddrPortFrom(loopback, freePort(b))
-	s, err := openSocket(address, &service, in, newWriter(4096), newSocketCounts(telemetry.NewRegistry(), "caller"))
+	s, err := openSocket(address, &service, receiveQueue, newWriter(4096), newSocketCounts(telemetry.NewRegistry(), "caller"))
 	assert.NilError(b, err)
 	defer s.close()
 	go func() {
 		for {
 			select {
-			case p := <-in.Out():
+			case p := <-receiveQueue.Out():
 				out := newPacket()
 				out.data, _ = message.Encode(out.data, &message.Outgoing{Template: p.data, Type: message.Acknowledgement,
 					Code: message.Content, ID: p.message.ID, Token: p.message.Token, DeadlineMS: 300})
--- a/internal/daemon/buffers.go
+++ b/internal/daemon/buffers.go
@@ -18,7 +18,7 @@
 	service ids.Service  // service whose socket received it; empty if it came from a backend server
 	peer    ids.Endpoint // source or destination
 	data    []byte
-	message message.Message // decoded view of data; set on received packets only
+	message message.Message // decoded form of data; set on received packets only
 }
 
 var packetPool = sync.Pool{New: func() any { return &packet{data: make([]byte, 0, maxDatagram+1)} }}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -206,7 +206,7 @@
 	d.addresses = newAddressBook(s.Seeds)
 	d.links = link.New(link.Config{
 		Self: s.Instance, LocalAddr: s.PeerListen.Addr(), Credentials: credentials, ControlBytesPerSecond: s.Link.ControlBytesPerSecond, StartupBytes: s.Link.StartupBurstBytes, QueueCapacity: s.Link.QueueLength,
-		DataIdle: s.Link.DataIdleTimeout, Log: d.log, Metrics: d.metrics,
+		DataIdleTimeout: s.Link.DataIdleTimeout, Log: d.log, Metrics: d.metrics,
 		LookupAddress: d.addresses.lookup,
 		Receive: func(m *peerwire.Message) {
 			if m.Lane() == peerwire.Data {
@@ -230,7 +230,7 @@
 	d.loop.init(d)
 	for name, stats := range map[string]func() ring.Stats{
 		"caller": d.callerPackets.Stats, "backend": d.backendPackets.Stats, "peer": d.dataMessages.Stats, "signal": d.controlMessages.Stats, "control": d.controlEvents.Stats,
-		"span": d.spans.Stats, "log": d.logWriter.Stats, "write_backend": d.backendWriter.ring.Stats,
+		"span": d.spans.Stats, "log": d.logWriter.Stats, "write_backend": d.backendWriter.queue.Stats,
 	} {
 		d.metrics.RegisterRing(name, stats)
 	}
--- a/internal/daemon/effects.go
+++ b/internal/daemon/effects.go
@@ -17,7 +17,7 @@
 // applyEffect performs one effect that the core returned. It must run before the
 // next call of the core, which may reuse the memory of the effect.
 func (l *coreLoop) applyEffect(effect *core.Effect) {
-	d := l.d
+	d := l.daemon
 	switch effect.Kind {
 	case core.ToCaller:
 		if p := l.encodeDatagram(effect); p != nil && !d.listeners.send(p) {
@@ -50,7 +50,7 @@
 	var err error
 	if p.data, err = message.Encode(p.data, &effect.Datagram); err != nil {
 		l.unencodable.Add(1)
-		l.d.log.Warn("datagram-not-encoded", "service", effect.Service, "to", effect.Endpoint, "error", err)
+		l.daemon.log.Warn("datagram-not-encoded", "service", effect.Service, "to", effect.Endpoint, "error", err)
 		p.release()
 		return nil
 	}
@@ -59,10 +59,10 @@
 }
 
 func (l *coreLoop) recordSpan(effect *core.Effect) {
-	if int(effect.Stage) >= len(spanNames) || !l.d.tracer.Sampled(effect.TraceID) {
+	if int(effect.Stage) >= len(spanNames) || !l.daemon.tracer.Sampled(effect.TraceID) {
 		return
 	}
-	if !l.d.spans.Push(telemetry.Hop{
+	if !l.daemon.spans.Push(telemetry.Hop{
 		Name: spanNames[effect.Stage], RequestID: effect.TraceID, Service: effect.Service, Target: effect.Target,
 		Start: time.Unix(0, int64(effect.Start)), Duration: effect.Duration,
 	}) {
--- a/internal/daemon/latency_bench_test.go
+++ b/internal/daemon/latency_bench_test.go
@@ -69,10 +69,10 @@
 	r := s.startDaemon(1)
 	address := netip.AddrPortFrom(r.ip, s.serviceAddress.Port())
 	newTestCaller(b).getUntilSuccess(address)
-	minInterval, _ := runClosedLoop(b, address, 32, requests)
+	timePerRequest, _ := runClosedLoop(b, address, 32, requests)
 	// In each pairInterval, every caller sends a pair of requests, one by each
 	// route.
-	pairInterval := 2 * minInterval * callers
+	pairInterval := 2 * timePerRequest * callers
 	var mu sync.Mutex
 	latency := [2]*hdrhistogram.Histogram{hdrhistogram.New(1000, 5e9, 3), hdrhistogram.New(1000, 5e9, 3)}
 	for b.Loop() {
@@ -101,7 +101,7 @@
 		}
 		wg.Wait()
 	}
-	b.ReportMetric(1/(2*minInterval).Seconds(), "requests/s")
+	b.ReportMetric(1/(2*timePerRequest).Seconds(), "requests/s")
 	for _, q := range []float64{50, 99} {
 		name := map[float64]string{50: "p50", 99: "p99"}[q]
 		through, direct := latency[0].ValueAtQuantile(q), latency[1].ValueAtQuantile(q)
--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -39,7 +39,7 @@
 	address     netip.AddrPort
 	service     ids.Service
 	socket      *socket
-	unusedSince time.Time // time from which no service has used it; zero while in use
+	unusedSince time.Time // time at which its service was removed; zero while in use
 }
 
 // callerWriterCount is the number of goroutines that send to callers. With more
@@ -56,7 +56,7 @@
 	for i := range callerWriterCount {
 		w := newWriter(writerCapacity)
 		l.writers = append(l.writers, w)
-		metrics.RegisterRing("write_caller_"+strconv.Itoa(i), w.ring.Stats)
+		metrics.RegisterRing("write_caller_"+strconv.Itoa(i), w.queue.Stats)
 	}
 	return l
 }
--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -31,7 +31,7 @@
 // coreLoop is the state of the core goroutine, the only one that accesses the
 // core.
 type coreLoop struct {
-	d       *Daemon
+	daemon  *Daemon
 	effects core.Effects
 	// The event structs are reused, so that calls of the core do not allocate.
 	callerEvent     core.CallerEvent
@@ -47,7 +47,7 @@
 
 	decisionTimes *hdrhistogram.Histogram // in nanoseconds, since publishedAt
 	publishedAt   time.Time
-	panicLogged   time.Time
+	panicLoggedAt time.Time
 	published     atomic.Pointer[coreMetrics]
 
 	events, panics, unencodable, unroutable, checksDropped, spansDropped *expvar.Int
@@ -61,7 +61,7 @@
 }
 
 func (l *coreLoop) init(d *Daemon) {
-	l.d = d
+	l.daemon = d
 	l.decisionTimes = hdrhistogram.New(1, maxDecisionTime.Nanoseconds(), 2)
 	l.events = d.metrics.Counter("core_events_total")
 	l.panics = d.metrics.Counter("core_panics_total")
@@ -97,7 +97,7 @@
 func (l *coreLoop) run(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	stop := l.d.stop
+	stop := l.daemon.stop
 	l.tick()
 	for !l.exitRequested {
 		select {
@@ -105,26 +105,26 @@
 			return
 		case <-ticker.C:
 			l.tick()
-		case p := <-l.d.callerPackets.Out():
+		case p := <-l.daemon.callerPackets.Out():
 			l.callerEvent = core.CallerEvent{Service: p.service, Caller: p.peer, Message: &p.message}
-			l.handle(func(now ids.Time) { l.d.core.HandleCaller(now, &l.callerEvent, &l.effects) })
+			l.handle(func(now ids.Time) { l.daemon.core.HandleCaller(now, &l.callerEvent, &l.effects) })
 			p.release()
-		case p := <-l.d.backendPackets.Out():
+		case p := <-l.daemon.backendPackets.Out():
 			l.backendEvent = core.BackendEvent{From: p.peer, Message: &p.message}
-			l.handle(func(now ids.Time) { l.d.core.HandleBackend(now, &l.backendEvent, &l.effects) })
+			l.handle(func(now ids.Time) { l.daemon.core.HandleBackend(now, &l.backendEvent, &l.effects) })
 			p.release()
-		case m := <-l.d.dataMessages.Out():
+		case m := <-l.daemon.dataMessages.Out():
 			l.handlePeerMessage(m)
-		case m := <-l.d.controlMessages.Out():
+		case m := <-l.daemon.controlMessages.Out():
 			l.handlePeerMessage(m)
-		case event := <-l.d.controlEvents.Out():
+		case event := <-l.daemon.controlEvents.Out():
 			l.handleControlEvent(event)
-		case call := <-l.d.coreCalls:
+		case call := <-l.daemon.coreCalls:
 			l.recoverPanics(call)
 		case <-stop:
 			stop, l.stopping = nil, true
-			l.d.log.Info("shutdown-started")
-			l.handle(func(now ids.Time) { l.d.core.Stop(now, &l.effects) })
+			l.daemon.log.Info("shutdown-started")
+			l.handle(func(now ids.Time) { l.daemon.core.Stop(now, &l.effects) })
 		}
 	}
 }
@@ -133,18 +133,18 @@
 // runs first, so that the core detects a pause of the process before it
 // processes the events that were queued during the pause.
 func (l *coreLoop) handle(callCore func(now ids.Time)) {
-	if l.d.clock.now().Sub(l.lastTick) >= tickInterval {
+	if l.daemon.clock.now().Sub(l.lastTick) >= tickInterval {
 		l.tick()
 	}
 	l.step(callCore)
 }
 
 func (l *coreLoop) tick() {
-	l.lastTick = l.d.clock.now()
-	l.step(func(now ids.Time) { l.d.core.Tick(now, &l.effects) })
+	l.lastTick = l.daemon.clock.now()
+	l.step(func(now ids.Time) { l.daemon.core.Tick(now, &l.effects) })
 	wallTime := time.Now()
-	if l.d.listeners.closeUnused(wallTime) {
-		l.d.listeners.apply(wallTime, l.services)
+	if l.daemon.listeners.closeUnused(wallTime) {
+		l.daemon.listeners.apply(wallTime, l.services)
 	}
 	if wallTime.Sub(l.publishedAt) >= publishInterval {
 		l.publish(wallTime)
@@ -155,9 +155,9 @@
 func (l *coreLoop) step(callCore func(now ids.Time)) {
 	l.recoverPanics(func() {
 		l.effects.Reset()
-		start := l.d.clock.now()
+		start := l.daemon.clock.now()
 		callCore(start)
-		_ = l.decisionTimes.RecordValue(l.d.clock.now().Sub(start).Nanoseconds()) // fails only for values above maxDecisionTime
+		_ = l.decisionTimes.RecordValue(l.daemon.clock.now().Sub(start).Nanoseconds()) // fails only for values above maxDecisionTime
 		l.events.Add(1)
 		for i := range l.effects.List {
 			l.applyEffect(&l.effects.List[i])
@@ -175,9 +175,9 @@
 			return
 		}
 		l.panics.Add(1)
-		if now := time.Now(); now.Sub(l.panicLogged) >= time.Second {
-			l.panicLogged = now
-			l.d.log.Error("core-panic", "panic", cause, "stack", string(debug.Stack()))
+		if now := time.Now(); now.Sub(l.panicLoggedAt) >= time.Second {
+			l.panicLoggedAt = now
+			l.daemon.log.Error("core-panic", "panic", cause, "stack", string(debug.Stack()))
 		}
 	}()
 	fn()
@@ -187,12 +187,12 @@
 	event := core.PeerEvent{Message: m}
 	if m.Relay != nil {
 		if err := message.Decode(m.Relay.Datagram, &l.relayedDatagram); err != nil {
-			l.d.listeners.counts.malformed.Add(1)
+			l.daemon.listeners.counts.malformed.Add(1)
 			return
 		}
 		event.RelayedDatagram = &l.relayedDatagram
 	}
-	l.handle(func(now ids.Time) { l.d.core.HandlePeer(now, &event, &l.effects) })
+	l.handle(func(now ids.Time) { l.daemon.core.HandlePeer(now, &event, &l.effects) })
 	if m.ConfigDelta != nil {
 		l.applyConfiguration()
 	}
@@ -201,29 +201,29 @@
 func (l *coreLoop) handleControlEvent(event controlEvent) {
 	switch {
 	case event.config != nil:
-		l.handle(func(now ids.Time) { l.d.core.HandleConfig(now, event.config, &l.effects) })
+		l.handle(func(now ids.Time) { l.daemon.core.HandleConfig(now, event.config, &l.effects) })
 		l.applyConfiguration()
 	case event.instances != nil:
-		l.d.addresses.updateFromList(event.instances)
-		l.handle(func(now ids.Time) { l.d.core.HandleInstances(now, event.instances, &l.effects) })
+		l.daemon.addresses.updateFromList(event.instances)
+		l.handle(func(now ids.Time) { l.daemon.core.HandleInstances(now, event.instances, &l.effects) })
 	case event.health != nil:
-		l.handle(func(now ids.Time) { l.d.core.HandleHealth(now, event.health, &l.effects) })
+		l.handle(func(now ids.Time) { l.daemon.core.HandleHealth(now, event.health, &l.effects) })
 	}
 }
 
 // applyConfiguration updates the service sockets after a configuration change.
 func (l *coreLoop) applyConfiguration() {
-	if revision := l.d.core.Revision(); revision != l.revision {
+	if revision := l.daemon.core.Revision(); revision != l.revision {
 		l.revision = revision
-		l.services = l.d.core.Services(l.services[:0])
-		l.d.listeners.apply(time.Now(), l.services)
+		l.services = l.daemon.core.Services(l.services[:0])
+		l.daemon.listeners.apply(time.Now(), l.services)
 	}
 }
 
 func (l *coreLoop) publish(now time.Time) {
 	l.publishedAt = now
 	l.published.Store(&coreMetrics{
-		counts: l.d.core.Counts(),
+		counts: l.daemon.core.Counts(),
 		p50:    l.decisionTimes.ValueAtQuantile(50),
 		p99:    l.decisionTimes.ValueAtQuantile(99),
 		max:    l.decisionTimes.Max(),
--- a/internal/daemon/socket.go
+++ b/internal/daemon/socket.go
@@ -152,7 +152,7 @@
 // send queues p for the writer, which releases it after sending. If the queue is
 // full, p is dropped.
 func (s *socket) send(p *packet) {
-	if !s.writer.ring.Push(outboundPacket{socket: s, packet: p}) {
+	if !s.writer.queue.Push(outboundPacket{socket: s, packet: p}) {
 		p.release()
 	}
 }
@@ -173,13 +173,13 @@
 // writer sends the datagrams of one or more sockets in a single goroutine. It is
 // shared to reduce the memory of idle service sockets.
 type writer struct {
-	ring          *ring.Ring[outboundPacket]
+	queue         *ring.Ring[outboundPacket]
 	stopRequested chan struct{}
 	done          chan struct{}
 }
 
 func newWriter(capacity int) *writer {
-	w := &writer{ring: ring.New[outboundPacket](capacity), stopRequested: make(chan struct{}), done: make(chan struct{})}
+	w := &writer{queue: ring.New[outboundPacket](capacity), stopRequested: make(chan struct{}), done: make(chan struct{})}
 	go w.run()
 	return w
 }
@@ -188,11 +188,11 @@
 	defer close(w.done)
 	for {
 		select {
-		case o := <-w.ring.Out():
+		case o := <-w.queue.Out():
 			o.write()
 		case <-w.stopRequested:
-			for w.ring.Stats().Depth > 0 {
-				o := <-w.ring.Out()
+			for w.queue.Stats().Depth > 0 {
+				o := <-w.queue.Out()
 				o.write()
 			}
 			return
--- a/internal/daemon/socket_test.go
+++ b/internal/daemon/socket_test.go
@@ -52,16 +52,16 @@
 // Guards against malformed or truncated datagrams that reach the core or are
 // not counted.
 func TestSocketDropsMalformed(t *testing.T) {
-	in, metrics := ring.New[*packet](8), telemetry.NewRegistry()
+	receiveQueue, metrics := ring.New[*packet](8), telemetry.NewRegistry()
 	service := ids.Service("counter")
 	address := netip.AddrPortFrom(loopback, freePort(t))
-	s, err := openSocket(address, &service, in, newWriter(8), newSocketCounts(metrics, "caller"))
+	s, err := openSocket(address, &service, receiveQueue, newWriter(8), newSocketCounts(metrics, "caller"))
 	assert.NilError(t, err)
 	defer s.close()
 	sendDatagram(t, address, []byte("not CoAP"))
 	sendDatagram(t, address, append([]byte{0x40, 1, 0, 7, 0xff}, make([]byte, maxDatagram)...))
 	sendDatagram(t, address, []byte{0x40, 1, 0, 7})
-	p := nextPacket(t, in)
+	p := nextPacket(t, receiveQueue)
 	assert.Equal(t, p.message.ID, uint16(7))
 	assert.Equal(t, p.service, service)
 	assert.Equal(t, metrics.Counter("caller_malformed_dropped_total").Value(), int64(1))
@@ -71,14 +71,14 @@
 // Guards against a socket that receives nothing more, or cannot be closed, after
 // it has released its buffer when idle. Empty datagrams must be received as well.
 func TestIdleSocketReceives(t *testing.T) {
-	in, metrics := ring.New[*packet](8), telemetry.NewRegistry()
+	receiveQueue, metrics := ring.New[*packet](8), telemetry.NewRegistry()
 	address := netip.AddrPortFrom(loopback, freePort(t))
-	s, err := openSocket(address, nil, in, newWriter(8), newSocketCounts(metrics, "caller"))
+	s, err := openSocket(address, nil, receiveQueue, newWriter(8), newSocketCounts(metrics, "caller"))
 	assert.NilError(t, err)
 	for id := range byte(3) {
 		sendDatagram(t, address, nil)
 		sendDatagram(t, address, []byte{0x40, 1, 0, id})
-		assert.Equal(t, nextPacket(t, in).message.ID, uint16(id))
+		assert.Equal(t, nextPacket(t, receiveQueue).message.ID, uint16(id))
 		assert.Equal(t, metrics.Counter("caller_malformed_dropped_total").Value(), int64(id)+1)
 		time.Sleep(idleTimeout + idleTimeout/4)
 	}
@@ -90,8 +90,8 @@
 // different service after a configuration change, or a service that takes over
 // the socket of another service when both are configured with one address.
 func TestListenersApplyConfiguration(t *testing.T) {
-	in := ring.New[*packet](8)
-	l := newServiceListeners(loopback, in, 8, slog.New(slog.DiscardHandler), telemetry.NewRegistry())
+	receiveQueue := ring.New[*packet](8)
+	l := newServiceListeners(loopback, receiveQueue, 8, slog.New(slog.DiscardHandler), telemetry.NewRegistry())
 	defer l.close()
 	port1, port2 := freePort(t), freePort(t)
 	now := time.Now()
@@ -102,11 +102,11 @@
 	assert.Equal(t, len(l.byAddress), 2)
 	assert.Assert(t, l.byService["0"] == nil)
 	sendDatagram(t, netip.AddrPortFrom(loopback, port1), []byte{0x40, 1, 0, 1})
-	assert.Equal(t, nextPacket(t, in).service, ids.Service("a"))
+	assert.Equal(t, nextPacket(t, receiveQueue).service, ids.Service("a"))
 
 	l.apply(now, []config.Service{{Name: "c", Port: port1}}) // a and b are removed, c gets the address of a
 	sendDatagram(t, netip.AddrPortFrom(loopback, port1), []byte{0x40, 1, 0, 1})
-	assert.Equal(t, nextPacket(t, in).service, ids.Service("c"))
+	assert.Equal(t, nextPacket(t, receiveQueue).service, ids.Service("c"))
 	assert.Assert(t, l.byService["a"] == nil)
 	assert.Assert(t, l.send(&packet{service: "b", peer: netip.AddrPortFrom(loopback, port1), data: []byte{0x40, 1, 0, 2}}),
 		"responses of the removed service still leave")
--- a/internal/link/bench_test.go
+++ b/internal/link/bench_test.go
@@ -15,7 +15,7 @@
 	"arbutusdock.example/arbutusdock/internal/peerwire"
 )
 
-// cpuTime returns the processor time of this process.
+// cpuTime returns the CPU time that this process has used.
 func cpuTime(b *testing.B) time.Duration {
 	var u syscall.Rusage
 	assert.NilError(b, syscall.Getrusage(syscall.RUSAGE_SELF, &u))
--- a/internal/link/lane.go
+++ b/internal/link/lane.go
@@ -102,7 +102,7 @@
 	if l.key.lane == peerwire.Control {
 		return controlIdleTimeout
 	}
-	return l.manager.config.DataIdle
+	return l.manager.config.DataIdleTimeout
 }
 
 func (l *lane) silenceTimeout() time.Duration {
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -60,7 +60,7 @@
 	ControlBytesPerSecond int           // rate limit of all control lanes together
 	StartupBytes          int           // control bytes allowed in addition to the rate limit after the start
 	QueueCapacity         int           // queued messages per peer and lane
-	DataIdle              time.Duration // time after which an unused data lane is closed
+	DataIdleTimeout       time.Duration // time after which an unused data lane is closed
 	Log                   *slog.Logger
 	Metrics               *telemetry.Registry
 	// LookupAddress returns the address of a peer's link listener, or false if it
@@ -146,7 +146,7 @@
 	}
 	config.Metrics.Gauge("link_control_budget_bytes_per_second", func() any { return config.ControlBytesPerSecond })
 	config.Metrics.Gauge("link_control_budget_owed_bytes", func() any { return m.budget.Owed() })
-	config.Metrics.Gauge("link_open_connections", func() any { return m.Open() })
+	config.Metrics.Gauge("link_open_connections", func() any { return m.ConnectionCount() })
 	return m
 }
 
@@ -223,8 +223,8 @@
 	return true
 }
 
-// Open returns the number of open connections.
-func (m *Manager) Open() int {
+// ConnectionCount returns the number of open connections.
+func (m *Manager) ConnectionCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	open := 0
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -59,7 +59,7 @@
 
 func (f *testFleet) startManager(id ids.Instance, configure func(*Config)) (*Manager, chan *peerwire.Message) {
 	received := make(chan *peerwire.Message, 1<<16)
-	config := Config{Self: id, Credentials: f.credentials(id), ControlBytesPerSecond: 1 << 20, QueueCapacity: 4096, DataIdle: time.Minute,
+	config := Config{Self: id, Credentials: f.credentials(id), ControlBytesPerSecond: 1 << 20, QueueCapacity: 4096, DataIdleTimeout: time.Minute,
 		Log: slog.New(slog.DiscardHandler), Metrics: telemetry.NewRegistry(), LookupAddress: f.address,
 		Receive: func(m *peerwire.Message) { received <- m }}
 	if configure != nil {
@@ -74,18 +74,18 @@
 	return m, received
 }
 
-func relayMessage(from ids.Instance, n byte) *peerwire.Message {
-	return &peerwire.Message{From: from, Relay: &peerwire.Relay{Service: "s", Caller: "127.0.0.1:1", Datagram: []byte{n}, Hops: 1}}
+func relayMessage(from ids.Instance, payload byte) *peerwire.Message {
+	return &peerwire.Message{From: from, Relay: &peerwire.Relay{Service: "s", Caller: "127.0.0.1:1", Datagram: []byte{payload}, Hops: 1}}
 }
 
 func heartbeatMessage(from ids.Instance, seq uint64) *peerwire.Message {
 	return &peerwire.Message{From: from, Heartbeat: &peerwire.Heartbeat{Seq: seq}}
 }
 
-func receive(t testing.TB, got chan *peerwire.Message) *peerwire.Message {
+func receive(t testing.TB, messages chan *peerwire.Message) *peerwire.Message {
 	t.Helper()
 	select {
-	case m := <-got:
+	case m := <-messages:
 		return m
 	case <-time.After(5 * time.Second):
 		t.Fatal("no message within 5 s")
@@ -108,7 +108,7 @@
 	assert.Assert(t, b.Send("a", relayMessage("b", 1)) && b.Send("a", heartbeatMessage("b", 1)))
 	receive(t, gotA)
 	receive(t, gotA)
-	assert.Equal(t, a.Open(), 2)
+	assert.Equal(t, a.ConnectionCount(), 2)
 	assert.Equal(t, a.counts.dials.Value()+b.counts.dials.Value(), int64(2))
 }
 
@@ -129,7 +129,7 @@
 	b.Send("a", relayMessage("b", 2))
 	receive(t, gotA)
 	receive(t, gotB)
-	assert.Equal(t, a.Open()+b.Open(), 2)
+	assert.Equal(t, a.ConnectionCount()+b.ConnectionCount(), 2)
 	assert.Assert(t, a.counts.dials.Value() <= 1 && b.counts.dials.Value() <= 1)
 }
 
@@ -211,7 +211,7 @@
 func TestIdleDataLaneCloses(t *testing.T) {
 	f := newTestFleet(t)
 	_, got := f.startManager("b", nil)
-	a, _ := f.startManager("a", func(c *Config) { c.DataIdle = 300 * time.Millisecond })
+	a, _ := f.startManager("a", func(c *Config) { c.DataIdleTimeout = 300 * time.Millisecond })
 	a.Send("b", relayMessage("a", 1))
 	receive(t, got)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
--- a/internal/peerwire/peerwire.go
+++ b/internal/peerwire/peerwire.go
@@ -77,7 +77,7 @@
 type Member struct {
 	ID          ids.Instance    `cbor:"1,keyasint"`
 	Incarnation ids.Incarnation `cbor:"2,keyasint"`
-	Counter     uint32          `cbor:"3,keyasint"` // incremented by the instance on each change of its own record
+	Counter     uint32          `cbor:"3,keyasint"` // incremented by the instance itself on each change of its record
 	DataCentre  ids.DataCentre  `cbor:"4,keyasint"`
 	PeerAddr    string          `cbor:"5,keyasint"` // IP:port of its link listener
 	Lifecycle   Lifecycle       `cbor:"6,keyasint"`
