--- a/internal/message/codec.go
+++ b/internal/message/codec.go
@@ -160,7 +160,7 @@
 
 // computeDigest hashes the code, all options except Echo, and the payload. The
 // number and length of each option precede its value, so that different
-// messages never produce the same input of the hash function.
+// options never produce the same input of the hash function.
 func (c *codec) computeDigest() uint64 {
 	c.hash.Reset()
 	c.hashPrefix[0] = byte(c.msg.Code)
