--- a/cmd/arbutusdock/admin.go
+++ b/cmd/arbutusdock/admin.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	adminTimeout = 5 * time.Second
-	maxAdminBody = 64 << 20 // state of an instance with 2,500 members and all its targets
+	adminTimeout      = 5 * time.Second
+	maxAdminBodyBytes = 64 << 20 // state of an instance with 2,500 members and all its targets
 )
 
 // query reads path of the admin interface at address into body.
-func query(address, path string, values url.Values, body any) error {
+func getAdmin(address, path string, values url.Values, body any) error {
 	ctx, cancel := context.WithTimeout(context.Background(), adminTimeout)
 	defer cancel()
-	target := (&url.URL{Scheme: "http", Host: address, Path: path, RawQuery: values.Encode()}).String()
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
+	requestURL := (&url.URL{Scheme: "http", Host: address, Path: path, RawQuery: values.Encode()}).String()
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, requestURL, nil)
 	if err != nil {
 		return eris.Wrapf(err, "admin interface %s", address)
 	}
@@ -30,14 +30,14 @@
 		return eris.Wrapf(err, "admin interface %s", address)
 	}
 	defer func() { _ = response.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxAdminBody))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxAdminBodyBytes))
 	if err != nil {
 		return eris.Wrapf(err, "admin interface %s: read body", address)
 	}
 	if response.StatusCode != http.StatusOK {
-		var problem struct{ Error string }
-		_ = json.Unmarshal(data, &problem) // the status alone is reported otherwise
-		return eris.Errorf("admin interface %s: status %d %s", address, response.StatusCode, problem.Error)
+		var errorBody struct{ Error string }
+		_ = json.Unmarshal(data, &errorBody) // the status alone is reported otherwise
+		return eris.Errorf("admin interface %s: status %d %s", address, response.StatusCode, errorBody.Error)
 	}
 	return eris.Wrapf(json.Unmarshal(data, body), "admin interface %s: decode body", address)
 }
--- a/cmd/arbutusdock/check.go
+++ b/cmd/arbutusdock/check.go
@@ -16,7 +16,7 @@
 )
 
 // maxDocument is the largest value that the platform holds, in bytes.
-const maxDocument = 1 << 20
+const maxDocumentBytes = 1 << 20
 
 type checkCommand struct {
 	Kind  string   `arg:"--kind" default:"auto" help:"profile, service, settings or auto (from the keys of the file)"`
@@ -24,7 +24,7 @@
 }
 
 func (c *checkCommand) run(out io.Writer) error {
-	faulty := 0
+	faultyFiles := 0
 	for _, file := range c.Files {
 		faults, err := c.check(file)
 		if err != nil {
@@ -34,12 +34,12 @@
 			_, _ = fmt.Fprintf(out, "%s: %s\n", file, f)
 		}
 		if len(faults) > 0 {
-			faulty++
+			faultyFiles++
 		} else {
 			_, _ = fmt.Fprintf(out, "%s: no faults\n", file)
 		}
 	}
-	if faulty > 0 {
+	if faultyFiles > 0 {
 		return errReported
 	}
 	return nil
@@ -53,10 +53,10 @@
 	}
 	kind := c.Kind
 	if kind == "auto" {
-		kind = guessKind(data)
+		kind = detectKind(data)
 	}
-	if kind != "settings" && len(data) > maxDocument {
-		return []string{fmt.Sprintf("%d bytes, the platform holds at most %d", len(data), maxDocument)}, nil
+	if kind != "settings" && len(data) > maxDocumentBytes {
+		return []string{fmt.Sprintf("%d bytes, the platform holds at most %d", len(data), maxDocumentBytes)}, nil
 	}
 	name := strings.TrimSuffix(filepath.Base(file), ".toml")
 	switch kind {
@@ -74,13 +74,13 @@
 
 // guessKind tells the kind of a file from its top-level keys. A file that is
 // not valid TOML has the same syntax faults as any kind.
-func guessKind(data []byte) string {
-	var top map[string]any
-	_ = toml.Unmarshal(data, &top)
+func detectKind(data []byte) string {
+	var topLevel map[string]any
+	_ = toml.Unmarshal(data, &topLevel)
 	switch {
-	case top["instance"] != nil || top["tls"] != nil || top["platform"] != nil:
+	case topLevel["instance"] != nil || topLevel["tls"] != nil || topLevel["platform"] != nil:
 		return "settings"
-	case top["target"] != nil || top["targets"] != nil || top["profile"] != nil || top["port"] != nil:
+	case topLevel["target"] != nil || topLevel["targets"] != nil || topLevel["profile"] != nil || topLevel["port"] != nil:
 		return "service"
 	}
 	return "profile"
@@ -89,8 +89,8 @@
 // faultLines returns one line for each fault in err.
 func faultLines(err error) []string {
 	var (
-		faults   settings.Faults
-		document *config.DocumentError
+		faults      settings.Faults
+		documentErr *config.DocumentError
 	)
 	switch {
 	case err == nil:
@@ -101,9 +101,9 @@
 			lines[i] = f.Error()
 		}
 		return lines
-	case errors.As(err, &document):
-		lines := make([]string, len(document.Faults))
-		for i, f := range document.Faults {
+	case errors.As(err, &documentErr):
+		lines := make([]string, len(documentErr.Faults))
+		for i, f := range documentErr.Faults {
 			lines[i] = documentFault(f)
 		}
 		return lines
--- a/cmd/arbutusdock/dryrun.go
+++ b/cmd/arbutusdock/dryrun.go
@@ -45,11 +45,11 @@
 	if err != nil {
 		return err
 	}
-	demand, capacity, err := c.measure()
+	demand, capacity, err := c.demandAndCapacity()
 	if err != nil {
 		return err
 	}
-	rows := compare(present, proposed, demand, capacity)
+	rows := compareAllocations(present, proposed, demand, capacity)
 	if c.JSON {
 		return printJSON(out, rows)
 	}
@@ -58,7 +58,7 @@
 	_, _ = fmt.Fprintln(w, "PARTNER\tWEIGHT\tNEW WEIGHT\tDEMAND\tPRESENT\tNEW\tCHANGE\t")
 	for _, r := range rows {
 		_, _ = fmt.Fprintf(w, "%s\t%d\t%d\t%.1f\t%.1f\t%.1f\t%+.1f\t\n",
-			orNone(string(r.Partner)), r.PresentWeight, r.NewWeight, r.Demand, r.Present, r.New, r.Change)
+			valueOrNone(string(r.Partner)), r.PresentWeight, r.NewWeight, r.Demand, r.Present, r.New, r.Change)
 	}
 	return w.Flush()
 }
@@ -73,14 +73,14 @@
 }
 
 // measure returns the demand and the capacity in slots.
-func (c *dryRunCommand) measure() (map[ids.Partner]float64, float64, error) {
+func (c *dryRunCommand) demandAndCapacity() (map[ids.Partner]float64, float64, error) {
 	if len(c.Admin) > 0 && c.Service == "" {
 		return nil, 0, eris.New("dryrun: --admin needs --service")
 	}
 	demand, capacity := map[ids.Partner]float64{}, 0.0
 	for _, address := range c.Admin {
 		var state daemon.State
-		if err := query(address, "/v1/state", nil, &state); err != nil {
+		if err := getAdmin(address, "/v1/state", nil, &state); err != nil {
 			return nil, 0, err
 		}
 		for _, d := range state.Details {
@@ -95,11 +95,11 @@
 			}
 		}
 	}
-	for _, text := range c.Demand {
-		name, value, ok := strings.Cut(text, "=")
+	for _, argument := range c.Demand {
+		name, value, ok := strings.Cut(argument, "=")
 		slots, err := strconv.ParseFloat(value, 64)
 		if !ok || err != nil || !(slots >= 0) {
-			return nil, 0, eris.Errorf("dryrun: --demand %q must be PARTNER=SLOTS with at least 0 slots", text)
+			return nil, 0, eris.Errorf("dryrun: --demand %q must be PARTNER=SLOTS with at least 0 slots", argument)
 		}
 		demand[ids.Partner(name)] = slots
 	}
@@ -115,29 +115,29 @@
 // compare divides the capacity by weighted max-min fairness under both
 // profiles. A partner that only one profile names has weight 0 in the other:
 // its callers then count as callers of no partner, which have weight 1.
-func compare(present, proposed config.Profile, demand map[ids.Partner]float64, capacity float64) []allocation {
-	before, after := weights(present, demand), weights(proposed, demand)
-	now := share.MaxMin(capacity, demand, before)
-	then := share.MaxMin(capacity, demand, after)
-	names := maps.Clone(before)
-	maps.Copy(names, after)
+func compareAllocations(present, proposed config.Profile, demand map[ids.Partner]float64, capacity float64) []allocation {
+	presentWeights, newWeights := weights(present, demand), weights(proposed, demand)
+	presentShares := share.MaxMin(capacity, demand, presentWeights)
+	newShares := share.MaxMin(capacity, demand, newWeights)
+	partners := maps.Clone(presentWeights)
+	maps.Copy(partners, newWeights)
 	var rows []allocation
-	for _, p := range slices.Sorted(maps.Keys(names)) {
+	for _, p := range slices.Sorted(maps.Keys(partners)) {
 		rows = append(rows, allocation{
-			Partner: p, PresentWeight: before[p], NewWeight: after[p], Demand: demand[p],
-			Present: now[p], New: then[p], Change: then[p] - now[p],
+			Partner: p, PresentWeight: presentWeights[p], NewWeight: newWeights[p], Demand: demand[p],
+			Present: presentShares[p], New: newShares[p], Change: newShares[p] - presentShares[p],
 		})
 	}
 	return rows
 }
 
 func weights(p config.Profile, demand map[ids.Partner]float64) map[ids.Partner]uint32 {
-	w := map[ids.Partner]uint32{}
+	weightOf := map[ids.Partner]uint32{}
 	for name := range demand {
-		w[name] = 1
+		weightOf[name] = 1
 	}
 	for _, partner := range p.Partners {
-		w[partner.Name] = partner.Weight
+		weightOf[partner.Name] = partner.Weight
 	}
-	return w
+	return weightOf
 }
--- a/cmd/arbutusdock/explain.go
+++ b/cmd/arbutusdock/explain.go
@@ -31,30 +31,30 @@
 		return c.explainFlow(out)
 	}
 	values := url.Values{"service": {c.Service}, "caller": {c.Caller}, "method": {c.Method}, "path": {c.Path}, "host": {c.Host}}
-	var x core.Explanation
-	if err := query(c.Admin, "/v1/explain", values, &x); err != nil {
+	var explanation core.Explanation
+	if err := getAdmin(c.Admin, "/v1/explain", values, &explanation); err != nil {
 		return err
 	}
 	if c.JSON {
-		return printJSON(out, x)
+		return printJSON(out, explanation)
 	}
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	row := func(name string, value any) { _, _ = fmt.Fprintf(w, "%s\t%v\n", name, value) }
-	if !x.Known {
-		row("reason", x.Reason)
+	if !explanation.Known {
+		row("reason", explanation.Reason)
 		return w.Flush()
 	}
-	row("action", x.Action)
-	row("instance", x.Instance)
-	row("reason", x.Reason)
-	row("home of the caller", x.Home)
-	row("partner", orNone(string(x.Partner)))
-	row("class", x.Class)
-	row("idempotent", x.Idempotent)
+	row("action", explanation.Action)
+	row("instance", explanation.Instance)
+	row("reason", explanation.Reason)
+	row("home of the caller", explanation.Home)
+	row("partner", valueOrNone(string(explanation.Partner)))
+	row("class", explanation.Class)
+	row("idempotent", explanation.Idempotent)
 	return w.Flush()
 }
 
-func orNone(s string) string {
+func valueOrNone(s string) string {
 	if s == "" {
 		return "(none)"
 	}
--- a/cmd/arbutusdock/flows.go
+++ b/cmd/arbutusdock/flows.go
@@ -16,7 +16,7 @@
 func (c *showCommand) showFlows(out io.Writer) error {
 	states := make([]forwarder.State, len(c.Admin))
 	for i, address := range c.Admin {
-		if err := query(address, "/v1/state", nil, &states[i]); err != nil {
+		if err := getAdmin(address, "/v1/state", nil, &states[i]); err != nil {
 			return err
 		}
 	}
@@ -37,7 +37,7 @@
 
 func showFlowTargets(out io.Writer, title string, targets []passthrough.TargetState) error {
 	const header = "SERVICE\tTARGET\tDATA CENTRE\tADDRESS\tCOOKIE\tLIFECYCLE\tSUSPECTED\tREQUESTS\tFLOWS\tLOAD"
-	return table(out, title, header, func(row func(string, ...any)) {
+	return printTable(out, title, header, func(row func(string, ...any)) {
 		for _, t := range targets {
 			suspected := "no"
 			if t.Suspected {
@@ -51,24 +51,24 @@
 // explainFlow prints where a packet of a pass-through flow would go.
 func (c *explainCommand) explainFlow(out io.Writer) error {
 	values := url.Values{"caller": {c.Caller}, "to": {c.To}, "cookie": {strconv.FormatUint(uint64(c.Cookie), 10)}}
-	var x passthrough.Explanation
-	if err := query(c.Admin, "/v1/explain", values, &x); err != nil {
+	var explanation passthrough.Explanation
+	if err := getAdmin(c.Admin, "/v1/explain", values, &explanation); err != nil {
 		return err
 	}
 	if c.JSON {
-		return printJSON(out, x)
+		return printJSON(out, explanation)
 	}
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	row := func(name string, value any) { _, _ = fmt.Fprintf(w, "%s\t%v\n", name, value) }
-	row("verdict", x.Verdict)
-	row("reason", x.Reason)
-	row("route", orNone(x.Route))
-	row("service", orNone(string(x.Service)))
-	row("configuration version", x.Version)
-	row("pressure on the data centre", fmt.Sprintf("%.2f requests a slot", x.Pressure))
-	row("target", orNone(x.Target))
-	if err := w.Flush(); err != nil || len(x.Candidates) == 0 {
+	row("verdict", explanation.Verdict)
+	row("reason", explanation.Reason)
+	row("route", valueOrNone(explanation.Route))
+	row("service", valueOrNone(string(explanation.Service)))
+	row("configuration version", explanation.Version)
+	row("pressure on the data centre", fmt.Sprintf("%.2f requests a slot", explanation.Pressure))
+	row("target", valueOrNone(explanation.Target))
+	if err := w.Flush(); err != nil || len(explanation.Candidates) == 0 {
 		return err
 	}
-	return showFlowTargets(out, "CANDIDATES", x.Candidates)
+	return showFlowTargets(out, "CANDIDATES", explanation.Candidates)
 }
--- a/cmd/arbutusdock/flows_test.go
+++ b/cmd/arbutusdock/flows_test.go
@@ -19,34 +19,34 @@
 // Guards against a state or an explanation of a pass-through instance that is
 // shown incompletely, and against a query that asks for another flow.
 func TestFlows(t *testing.T) {
-	var queried string
+	var receivedQuery string
 	mux := http.NewServeMux()
 	mux.HandleFunc("/v1/state", func(w http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(w).Encode(forwarder.State{Instance: "a1", DataCentre: "a", Serving: true, Source: "a2", NewsAge: 40e6,
 			Snapshot: passthrough.Snapshot{Version: 17, Routes: 5, Flows: 902, Targets: flowTargets}})
 	})
 	mux.HandleFunc("/v1/explain", func(w http.ResponseWriter, r *http.Request) {
-		queried = r.URL.Query().Encode()
+		receivedQuery = r.URL.Query().Encode()
 		_ = json.NewEncoder(w).Encode(passthrough.Explanation{Verdict: "forward", Reason: "placed", Route: "r-1", Service: "counter",
 			Version: 17, Target: "i-7f", Candidates: flowTargets})
 	})
 	server := httptest.NewServer(mux)
 	defer server.Close()
 	address := strings.TrimPrefix(server.URL, "http://")
-	row := []string{"i-7f", "192.0.2.1:80", "127", "draining", "retry in 1.5s", "41", "2.50"}
+	wantFields := []string{"i-7f", "192.0.2.1:80", "127", "draining", "retry in 1.5s", "41", "2.50"}
 
-	code, out, problems := call("show", "--flows", address)
-	assert.Equal(t, code, exitSuccess, problems)
-	for _, want := range append(row, "a1", "version 17", "from a2, 40ms old", "902") {
+	code, out, errOut := runTool("show", "--flows", address)
+	assert.Equal(t, code, exitSuccess, errOut)
+	for _, want := range append(wantFields, "a1", "version 17", "from a2, 40ms old", "902") {
 		assert.Assert(t, strings.Contains(out, want), "%s missing in\n%s", want, out)
 	}
-	code, out, problems = call("explain", "--admin", address, "--caller", "198.51.100.7:4000", "--to", "203.0.113.1:443", "--cookie", "9")
-	assert.Equal(t, code, exitSuccess, problems)
-	assert.Equal(t, queried, "caller=198.51.100.7%3A4000&cookie=9&to=203.0.113.1%3A443")
-	for _, want := range append(row, "placed", "r-1", "17") {
+	code, out, errOut = runTool("explain", "--admin", address, "--caller", "198.51.100.7:4000", "--to", "203.0.113.1:443", "--cookie", "9")
+	assert.Equal(t, code, exitSuccess, errOut)
+	assert.Equal(t, receivedQuery, "caller=198.51.100.7%3A4000&cookie=9&to=203.0.113.1%3A443")
+	for _, want := range append(wantFields, "placed", "r-1", "17") {
 		assert.Assert(t, strings.Contains(out, want), "%s missing in\n%s", want, out)
 	}
-	code, _, problems = call("explain", "--admin", address)
+	code, _, errOut = runTool("explain", "--admin", address)
 	assert.Equal(t, code, exitFailed)
-	assert.Assert(t, strings.Contains(problems, "either --service or --to is needed"), problems)
+	assert.Assert(t, strings.Contains(errOut, "either --service or --to is needed"), errOut)
 }
--- a/cmd/arbutusdock/keys.go
+++ b/cmd/arbutusdock/keys.go
@@ -52,7 +52,7 @@
 	if _, err := keys.CreateCA(c.Dir, c.Name, time.Duration(c.Days)*day); err != nil {
 		return err
 	}
-	return created(out, c.Dir, "ca.crt", "ca.key")
+	return printCreated(out, c.Dir, "ca.crt", "ca.key")
 }
 
 func (c *instanceCommand) run(out io.Writer) error {
@@ -64,7 +64,7 @@
 		if err := ca.Issue(c.Dir, ids.Instance(id), time.Duration(c.Days)*day); err != nil {
 			return err
 		}
-		if err := created(out, c.Dir, id+".crt", id+".key"); err != nil {
+		if err := printCreated(out, c.Dir, id+".crt", id+".key"); err != nil {
 			return err
 		}
 	}
@@ -75,10 +75,10 @@
 	if err := keys.CreateAdmissionKey(c.Dir, c.ID); err != nil {
 		return err
 	}
-	return created(out, c.Dir, fmt.Sprintf("admission-%d.key", c.ID))
+	return printCreated(out, c.Dir, fmt.Sprintf("admission-%d.key", c.ID))
 }
 
-func created(out io.Writer, dir string, names ...string) error {
+func printCreated(out io.Writer, dir string, names ...string) error {
 	for _, name := range names {
 		if _, err := fmt.Fprintln(out, "created", filepath.Join(dir, name)); err != nil {
 			return err
--- a/cmd/arbutusdock/main.go
+++ b/cmd/arbutusdock/main.go
@@ -65,11 +65,11 @@
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-func run(args []string, out, problems io.Writer) int {
+func run(args []string, out, errOut io.Writer) int {
 	var a arguments
 	parser, err := arg.NewParser(arg.Config{Program: "arbutusdock"}, &a)
 	if err != nil {
-		_, _ = fmt.Fprintln(problems, "arbutusdock:", err)
+		_, _ = fmt.Fprintln(errOut, "arbutusdock:", err)
 		return exitFailed
 	}
 	err = parser.Parse(args)
@@ -81,13 +81,13 @@
 		err = errors.New("missing subcommand")
 	}
 	if err != nil {
-		_ = parser.WriteUsageForSubcommand(problems, parser.SubcommandNames()...)
-		_, _ = fmt.Fprintln(problems, "arbutusdock:", err)
+		_ = parser.WriteUsageForSubcommand(errOut, parser.SubcommandNames()...)
+		_, _ = fmt.Fprintln(errOut, "arbutusdock:", err)
 		return exitUsage
 	}
 	if err := a.command().run(out); err != nil {
 		if !errors.Is(err, errReported) {
-			_, _ = fmt.Fprintln(problems, "arbutusdock:", err)
+			_, _ = fmt.Fprintln(errOut, "arbutusdock:", err)
 		}
 		return exitFailed
 	}
--- a/cmd/arbutusdock/main_test.go
+++ b/cmd/arbutusdock/main_test.go
@@ -21,15 +21,15 @@
 	"arbutusdock.example/arbutusdock/internal/spread"
 )
 
-func call(args ...string) (code int, out, problems string) {
-	var o, p bytes.Buffer
-	code = run(args, &o, &p)
-	return code, o.String(), p.String()
+func runTool(args ...string) (code int, out, errOut string) {
+	var stdout, stderr bytes.Buffer
+	code = run(args, &stdout, &stderr)
+	return code, stdout.String(), stderr.String()
 }
 
 // Guards against exit codes and usage that scripts rely on.
 func TestUsage(t *testing.T) {
-	for _, x := range []struct {
+	for _, test := range []struct {
 		args []string
 		code int
 		text string
@@ -41,9 +41,9 @@
 		{[]string{"keys"}, exitFailed, "ca, instance, admission"},
 		{[]string{"show", "127.0.0.1:1"}, exitFailed, "admin interface 127.0.0.1:1"},
 	} {
-		code, out, problems := call(x.args...)
-		assert.Equal(t, code, x.code, "%v: %s%s", x.args, out, problems)
-		assert.Assert(t, strings.Contains(out+problems, x.text), "%v: %s%s", x.args, out, problems)
+		code, out, errOut := runTool(test.args...)
+		assert.Equal(t, code, test.code, "%v: %s%s", test.args, out, errOut)
+		assert.Assert(t, strings.Contains(out+errOut, test.text), "%v: %s%s", test.args, out, errOut)
 	}
 }
 
@@ -51,18 +51,18 @@
 // not fail the command.
 func TestCheck(t *testing.T) {
 	const testdata = "../../internal/settings/testdata/"
-	code, out, _ := call("check", testdata+"bad/many.toml", testdata+"good/full.toml")
+	code, out, _ := runTool("check", testdata+"bad/many.toml", testdata+"good/full.toml")
 	assert.Equal(t, code, exitFailed)
 	assert.Assert(t, strings.Contains(out, "many.toml: line 5: key instance.colour: unknown key\n"), out)
 	assert.Assert(t, strings.Contains(out, "full.toml: no faults\n"), out)
 	const documents = "../../internal/config/testdata/"
-	code, out, _ = call("check", documents+"bad/profile-ranges.toml", documents+"bad/service-ranges.toml")
+	code, out, _ = runTool("check", documents+"bad/profile-ranges.toml", documents+"bad/service-ranges.toml")
 	assert.Equal(t, code, exitFailed)
 	assert.Assert(t, strings.Contains(out, "profile-ranges.toml: line 2: key spread.long_share: "), out)
 	assert.Assert(t, strings.Contains(out, "service-ranges.toml: line "), out)
-	code, out, _ = call("check", documents+"good/profile-full.toml", documents+"good/service-counter.toml")
+	code, out, _ = runTool("check", documents+"good/profile-full.toml", documents+"good/service-counter.toml")
 	assert.Equal(t, code, exitSuccess, out)
-	code, _, _ = call("check", testdata+"good/full.toml")
+	code, _, _ = runTool("check", testdata+"good/full.toml")
 	assert.Equal(t, code, exitSuccess)
 }
 
@@ -70,14 +70,14 @@
 func TestKeys(t *testing.T) {
 	dir := t.TempDir()
 	for _, args := range [][]string{{"keys", "ca", "--dir", dir}, {"keys", "instance", "--dir", dir, "a1", "a2"}, {"keys", "admission", "--dir", dir, "--id", "7"}} {
-		code, _, problems := call(args...)
-		assert.Equal(t, code, exitSuccess, problems)
+		code, _, errOut := runTool(args...)
+		assert.Equal(t, code, exitSuccess, errOut)
 	}
 	names, err := filepath.Glob(filepath.Join(dir, "*"))
 	assert.NilError(t, err)
 	assert.Equal(t, len(names), 7)
-	code, _, problems := call("keys", "admission", "--dir", dir, "--id", "7")
-	assert.Assert(t, code == exitFailed && strings.Contains(problems, "file exists"), problems)
+	code, _, errOut := runTool("keys", "admission", "--dir", dir, "--id", "7")
+	assert.Assert(t, code == exitFailed && strings.Contains(errOut, "file exists"), errOut)
 	file := filepath.Join(dir, "a1.toml")
 	text := `instance={id="a1",data_centre="a"}
 service.listen_ip="127.0.0.1"
@@ -106,12 +106,12 @@
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(w).Encode(state) }))
 	defer server.Close()
 	address := strings.TrimPrefix(server.URL, "http://")
-	code, out, problems := call("show", address)
-	assert.Equal(t, code, exitSuccess, problems)
+	code, out, errOut := runTool("show", address)
+	assert.Equal(t, code, exitSuccess, errOut)
 	for _, want := range []string{"a1", "revision 9", "a2", "draining", "true", "1.5ms", "t1", "trusted", "north", "75.0%"} {
 		assert.Assert(t, strings.Contains(out, want), "%s missing in\n%s", want, out)
 	}
-	_, out, _ = call("show", "--json", address)
+	_, out, _ = runTool("show", "--json", address)
 	var got []daemon.State
 	assert.NilError(t, json.Unmarshal([]byte(out), &got))
 	assert.DeepEqual(t, got, []daemon.State{state})
@@ -123,7 +123,7 @@
 	profile := func(north, south uint32) config.Profile {
 		return config.Profile{Partners: []config.Partner{{Name: "north", Weight: north}, {Name: "south", Weight: south}}}
 	}
-	rows := compare(profile(3, 1), profile(1, 1), map[ids.Partner]float64{"north": 30, "south": 6}, 20)
+	rows := compareAllocations(profile(3, 1), profile(1, 1), map[ids.Partner]float64{"north": 30, "south": 6}, 20)
 	assert.DeepEqual(t, rows, []allocation{
 		{Partner: "north", PresentWeight: 3, NewWeight: 1, Demand: 30, Present: 15, New: 14, Change: -1},
 		{Partner: "south", PresentWeight: 1, NewWeight: 1, Demand: 6, Present: 5, New: 6, Change: 1},
--- a/cmd/arbutusdock/show.go
+++ b/cmd/arbutusdock/show.go
@@ -27,7 +27,7 @@
 	}
 	states := make([]daemon.State, len(c.Admin))
 	for i, address := range c.Admin {
-		if err := query(address, "/v1/state", nil, &states[i]); err != nil {
+		if err := getAdmin(address, "/v1/state", nil, &states[i]); err != nil {
 			return err
 		}
 	}
@@ -46,7 +46,7 @@
 }
 
 // table prints rows under a header and a title.
-func table(out io.Writer, title, header string, rows func(row func(format string, args ...any))) error {
+func printTable(out io.Writer, title, header string, rows func(row func(format string, args ...any))) error {
 	_, _ = fmt.Fprintf(out, "\n%s\n", title)
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	_, _ = fmt.Fprintln(w, header)
@@ -71,14 +71,14 @@
 }
 
 func showMembers(out io.Writer, members []peerwire.Member) error {
-	return table(out, "INSTANCES", "ID\tDATA CENTRE\tLIFECYCLE\tSUSPECTED\tPEER ADDRESS\tSTARTED", func(row func(string, ...any)) {
+	return printTable(out, "INSTANCES", "ID\tDATA CENTRE\tLIFECYCLE\tSUSPECTED\tPEER ADDRESS\tSTARTED", func(row func(string, ...any)) {
 		for _, m := range members {
-			row("%s\t%s\t%s\t%v\t%s\t%s", m.ID, m.DataCentre, lifecycle(m.Lifecycle), m.Suspected, m.PeerAddr, started(m.Incarnation))
+			row("%s\t%s\t%s\t%v\t%s\t%s", m.ID, m.DataCentre, lifecycleName(m.Lifecycle), m.Suspected, m.PeerAddr, startTime(m.Incarnation))
 		}
 	})
 }
 
-func lifecycle(l peerwire.Lifecycle) string {
+func lifecycleName(l peerwire.Lifecycle) string {
 	names := [...]string{peerwire.Joining: "joining", peerwire.Serving: "serving", peerwire.Draining: "draining", peerwire.Gone: "gone"}
 	if int(l) < len(names) {
 		return names[l]
@@ -87,10 +87,10 @@
 }
 
 // started tells the start of an incarnation, which is its time in nanoseconds.
-func started(i ids.Incarnation) string { return time.Unix(0, int64(i)).UTC().Format(time.RFC3339) }
+func startTime(i ids.Incarnation) string { return time.Unix(0, int64(i)).UTC().Format(time.RFC3339) }
 
 func showServices(out io.Writer, services []core.ServiceState) error {
-	return table(out, "SLOTS OF THIS INSTANCE", "SERVICE\tOWNED\tFREE\tQUEUED SHORT\tQUEUED LONG\tRUN TIME", func(row func(string, ...any)) {
+	return printTable(out, "SLOTS OF THIS INSTANCE", "SERVICE\tOWNED\tFREE\tQUEUED SHORT\tQUEUED LONG\tRUN TIME", func(row func(string, ...any)) {
 		for _, s := range services {
 			row("%s\t%d\t%d\t%d\t%d\t%s", s.Service, s.Owned, s.Free, s.QueuedShort, s.QueuedLong, time.Duration(s.RunTimeMicros)*time.Microsecond)
 		}
@@ -98,7 +98,7 @@
 }
 
 func showTargets(out io.Writer, details []core.ServiceDetail) error {
-	return table(out, "BACKEND SERVERS", "SERVICE\tTARGET\tLIFECYCLE\tHEALTH\tOWNED SLOTS\tUSABLE\tIN USE\tFEEDS", func(row func(string, ...any)) {
+	return printTable(out, "BACKEND SERVERS", "SERVICE\tTARGET\tLIFECYCLE\tHEALTH\tOWNED SLOTS\tUSABLE\tIN USE\tFEEDS", func(row func(string, ...any)) {
 		for _, d := range details {
 			for _, t := range d.Targets {
 				row("%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d", d.Service, t.Target, t.Lifecycle, t.Suspicion, t.Owned, t.Usable, t.InUse, t.Feeds)
@@ -108,7 +108,7 @@
 }
 
 func showPartners(out io.Writer, details []core.ServiceDetail) error {
-	return table(out, "SHARES", "SERVICE\tPROFILE\tREVISION\tPARTNER\tWEIGHT\tSHARE\tREQUESTS", func(row func(string, ...any)) {
+	return printTable(out, "SHARES", "SERVICE\tPROFILE\tREVISION\tPARTNER\tWEIGHT\tSHARE\tREQUESTS", func(row func(string, ...any)) {
 		for _, d := range details {
 			for _, p := range d.Partners {
 				row("%s\t%s\t%d\t%s\t%d\t%.1f%%\t%.0f", d.Service, d.Profile, d.Revision, p.Partner, p.Weight, 100*p.Share, p.Demand)
--- a/cmd/arbutusdockd/main.go
+++ b/cmd/arbutusdockd/main.go
@@ -27,7 +27,7 @@
 )
 
 const (
-	exitStopped = iota
+	exitSuccess = iota
 	exitFailed
 	exitUsage
 	exitForced
@@ -49,39 +49,39 @@
 
 func run() int {
 	// Without a receiver the signal would end the process while it starts.
-	reload := make(chan os.Signal, 1)
-	signal.Notify(reload, syscall.SIGHUP)
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
 	var a arguments
 	parser, err := arg.NewParser(arg.Config{Program: "arbutusdockd"}, &a)
 	if err != nil {
-		return report(exitFailed, err)
+		return printError(exitFailed, err)
 	}
 	switch err := parser.Parse(os.Args[1:]); {
 	case errors.Is(err, arg.ErrHelp):
 		parser.WriteHelp(os.Stdout)
-		return exitStopped
+		return exitSuccess
 	case err != nil:
-		return report(exitUsage, err)
+		return printError(exitUsage, err)
 	}
 	s, err := settings.Load(a.Settings)
 	if err != nil {
-		return report(exitUsage, err)
+		return printError(exitUsage, err)
 	}
 	if s.Passthrough != nil {
 		f, err := forwarder.New(s, os.Stdout, os.Stderr)
 		if err != nil {
-			return report(exitFailed, err)
+			return printError(exitFailed, err)
 		}
-		return serve(f, reload)
+		return serve(f, hangups)
 	}
 	d, err := daemon.New(s, os.Stdout, os.Stderr)
 	if err != nil {
 		if errors.Is(err, daemon.ErrKeyFiles) {
-			return report(exitUsage, err)
+			return printError(exitUsage, err)
 		}
-		return report(exitFailed, err)
+		return printError(exitFailed, err)
 	}
-	return serve(d, reload)
+	return serve(d, hangups)
 }
 
 // instance is an instance of either kind of traffic.
@@ -92,9 +92,9 @@
 }
 
 // serve runs i until it has stopped.
-func serve(i instance, reload <-chan os.Signal) int {
+func serve(i instance, hangups <-chan os.Signal) int {
 	go func() {
-		for range reload {
+		for range hangups {
 			i.Reload()
 		}
 	}()
@@ -107,13 +107,13 @@
 		os.Exit(exitForced)
 	}()
 	if err := i.Run(context.Background()); err != nil {
-		return report(exitFailed, err)
+		return printError(exitFailed, err)
 	}
-	return exitStopped
+	return exitSuccess
 }
 
 // report prints err, one line for each fault of a settings file.
-func report(code int, err error) int {
+func printError(code int, err error) int {
 	var faults settings.Faults
 	if errors.As(err, &faults) {
 		for _, f := range faults {
--- a/cmd/arbutusdockd/main_test.go
+++ b/cmd/arbutusdockd/main_test.go
@@ -31,14 +31,14 @@
 type process struct {
 	t      *testing.T
 	cmd    *exec.Cmd
-	log    bytes.Buffer // standard error; read after the end only
-	output bytes.Buffer // standard output; read after the end only
+	stderr bytes.Buffer // standard error; read after the end only
+	stdout bytes.Buffer // standard output; read after the end only
 }
 
-func launch(t *testing.T, file string) *process {
+func startProcess(t *testing.T, settingsFile string) *process {
 	p := &process{t: t, cmd: exec.Command(os.Args[0])}
-	p.cmd.Env = append(os.Environ(), "ARBUTUSDOCKD_TEST_SETTINGS="+file)
-	p.cmd.Stderr, p.cmd.Stdout = &p.log, &p.output
+	p.cmd.Env = append(os.Environ(), "ARBUTUSDOCKD_TEST_SETTINGS="+settingsFile)
+	p.cmd.Stderr, p.cmd.Stdout = &p.stderr, &p.stdout
 	assert.NilError(t, p.cmd.Start())
 	t.Cleanup(func() { _ = p.cmd.Process.Kill() })
 	return p
@@ -47,7 +47,7 @@
 func (p *process) signal(s syscall.Signal) { assert.NilError(p.t, p.cmd.Process.Signal(s)) }
 
 // exit waits for the end and returns the exit code.
-func (p *process) exit() int {
+func (p *process) waitExitCode() int {
 	p.t.Helper()
 	timer := time.AfterFunc(20*time.Second, func() { _ = p.cmd.Process.Kill() })
 	defer timer.Stop()
@@ -56,7 +56,7 @@
 }
 
 // write creates a settings file whose platform is unreachable.
-func write(t *testing.T, admin string) string {
+func writeSettings(t *testing.T, admin string) string {
 	dir := t.TempDir()
 	ca, err := keys.CreateCA(dir, "fleet", time.Hour)
 	assert.NilError(t, err)
@@ -77,11 +77,11 @@
 
 // ready waits until the core goroutine answers. The listener alone is open
 // before the core runs.
-func ready(t *testing.T, admin string) {
+func waitUntilReady(t *testing.T, admin string) {
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
-		if r, err := http.Get("http://" + admin + "/v1/state"); err == nil {
-			_ = r.Body.Close()
-			if r.StatusCode == http.StatusOK {
+		if response, err := http.Get("http://" + admin + "/v1/state"); err == nil {
+			_ = response.Body.Close()
+			if response.StatusCode == http.StatusOK {
 				return
 			}
 		}
@@ -100,19 +100,19 @@
 // differ from the documented ones.
 func TestSignals(t *testing.T) {
 	admin := freeAddress(t)
-	p := launch(t, write(t, admin))
-	ready(t, admin)
+	p := startProcess(t, writeSettings(t, admin))
+	waitUntilReady(t, admin)
 	p.signal(syscall.SIGTERM)
-	assert.Equal(t, p.exit(), exitStopped)
-	assert.Assert(t, strings.Contains(p.log.String(), "msg=stopped"), p.log.String())
+	assert.Equal(t, p.waitExitCode(), exitSuccess)
+	assert.Assert(t, strings.Contains(p.stderr.String(), "msg=stopped"), p.stderr.String())
 
-	p = launch(t, write(t, admin))
-	ready(t, admin)
+	p = startProcess(t, writeSettings(t, admin))
+	waitUntilReady(t, admin)
 	p.signal(syscall.SIGTERM)
 	time.Sleep(100 * time.Millisecond)
 	start := time.Now()
 	p.signal(syscall.SIGTERM)
-	assert.Equal(t, p.exit(), exitForced)
+	assert.Equal(t, p.waitExitCode(), exitForced)
 	assert.Assert(t, time.Since(start) < 2*time.Second)
 }
 
@@ -121,47 +121,47 @@
 // ended and was still listed.
 func TestSurvivesHangup(t *testing.T) {
 	admin := freeAddress(t)
-	p := launch(t, write(t, admin))
-	ready(t, admin)
+	p := startProcess(t, writeSettings(t, admin))
+	waitUntilReady(t, admin)
 	p.signal(syscall.SIGHUP)
 	time.Sleep(200 * time.Millisecond)
 	p.signal(syscall.SIGTERM)
-	assert.Equal(t, p.exit(), exitStopped)
-	assert.Equal(t, strings.Count(p.log.String(), "msg=reloaded"), 1, p.log.String())
+	assert.Equal(t, p.waitExitCode(), exitSuccess)
+	assert.Equal(t, strings.Count(p.stderr.String(), "msg=reloaded"), 1, p.stderr.String())
 }
 
 // Guards against a process that serves on after a pause with what it knew
 // before.
 func TestPause(t *testing.T) {
 	admin := freeAddress(t)
-	p := launch(t, write(t, admin))
-	ready(t, admin)
+	p := startProcess(t, writeSettings(t, admin))
+	waitUntilReady(t, admin)
 	p.signal(syscall.SIGSTOP)
 	time.Sleep(1500 * time.Millisecond)
 	p.signal(syscall.SIGCONT)
 	time.Sleep(200 * time.Millisecond)
 	p.signal(syscall.SIGTERM)
-	assert.Equal(t, p.exit(), exitStopped)
-	assert.Assert(t, strings.Contains(p.log.String(), "msg=resumed"), p.log.String())
+	assert.Equal(t, p.waitExitCode(), exitSuccess)
+	assert.Assert(t, strings.Contains(p.stderr.String(), "msg=resumed"), p.stderr.String())
 }
 
 // Guards against wrong exit codes and messages for faults at the start.
 func TestFaultsAtStart(t *testing.T) {
-	p := launch(t, "missing.toml")
-	assert.Equal(t, p.exit(), exitUsage)
-	p = launch(t, "../../internal/settings/testdata/bad/many.toml")
-	assert.Equal(t, p.exit(), exitUsage)
-	assert.Assert(t, strings.Contains(p.log.String(), "settings: line 5: key instance.colour: unknown key\n"), p.log.String())
+	p := startProcess(t, "missing.toml")
+	assert.Equal(t, p.waitExitCode(), exitUsage)
+	p = startProcess(t, "../../internal/settings/testdata/bad/many.toml")
+	assert.Equal(t, p.waitExitCode(), exitUsage)
+	assert.Assert(t, strings.Contains(p.stderr.String(), "settings: line 5: key instance.colour: unknown key\n"), p.stderr.String())
 
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer func() { _ = l.Close() }()
-	file := write(t, l.Addr().String())
-	p = launch(t, file)
-	assert.Equal(t, p.exit(), exitFailed)
-	assert.Assert(t, strings.Contains(p.log.String(), "address already in use"), p.log.String())
+	file := writeSettings(t, l.Addr().String())
+	p = startProcess(t, file)
+	assert.Equal(t, p.waitExitCode(), exitFailed)
+	assert.Assert(t, strings.Contains(p.stderr.String(), "address already in use"), p.stderr.String())
 
 	assert.NilError(t, os.WriteFile(filepath.Join(filepath.Dir(file), "admission-1.key"), []byte("short"), 0o600))
-	p = launch(t, file)
-	assert.Equal(t, p.exit(), exitUsage)
+	p = startProcess(t, file)
+	assert.Equal(t, p.waitExitCode(), exitUsage)
 }
--- a/cmd/arbutusdockd/passthrough_test.go
+++ b/cmd/arbutusdockd/passthrough_test.go
@@ -32,15 +32,15 @@
 // settings files change in the middle of the day.
 func TestPassthroughSurvivesHangup(t *testing.T) {
 	file := writePassthrough(t)
-	p := launch(t, file)
+	p := startProcess(t, file)
 	time.Sleep(500 * time.Millisecond)
 	p.signal(syscall.SIGHUP)
 	time.Sleep(200 * time.Millisecond)
 	p.signal(syscall.SIGTERM)
-	assert.Equal(t, p.exit(), exitStopped)
-	log := p.output.String()
-	assert.Equal(t, strings.Count(log, "msg=reloaded"), 1, log)
-	assert.Equal(t, strings.Count(log, "msg=stopped"), 1, log)
+	assert.Equal(t, p.waitExitCode(), exitSuccess)
+	output := p.stdout.String()
+	assert.Equal(t, strings.Count(output, "msg=reloaded"), 1, output)
+	assert.Equal(t, strings.Count(output, "msg=stopped"), 1, output)
 }
 
 // Guards against settings with faults that are accepted or not named.
@@ -49,7 +49,7 @@
 	data, err := os.ReadFile(file)
 	assert.NilError(t, err)
 	assert.NilError(t, os.WriteFile(file, fmt.Appendf(data, "flow_life = \"0s\"\n"), 0o600))
-	p := launch(t, file)
-	assert.Equal(t, p.exit(), exitUsage)
-	assert.Assert(t, strings.Contains(p.log.String(), `line 9: key passthrough.flow_life: is "0s"`), p.log.String())
+	p := startProcess(t, file)
+	assert.Equal(t, p.waitExitCode(), exitUsage)
+	assert.Assert(t, strings.Contains(p.stderr.String(), `line 9: key passthrough.flow_life: is "0s"`), p.stderr.String())
 }
--- a/internal/documents/documents.go
+++ b/internal/documents/documents.go
@@ -32,12 +32,12 @@
 	WatchMargin = 1 * time.Second
 	// MaxBody bounds a response. A page holds at most 1 MB of values; JSON
 	// escaping can make them up to six times as long.
-	MaxBody = 6<<20 + 256<<10
+	MaxBodyBytes = 6<<20 + 256<<10
 
 	maxDocuments = 1 << 16
 	maxInstances = 1 << 14
-	attempts     = 3
-	backoffMin   = 100 * time.Millisecond
+	maxAttempts  = 3
+	minBackoff   = 100 * time.Millisecond
 )
 
 // Errors of a response that cannot be used.
@@ -48,8 +48,8 @@
 
 // Client reads from one platform address.
 type Client struct {
-	http *httpget.Client
-	rand func() float64
+	http   *httpget.Client
+	random func() float64
 }
 
 // New returns a client for the platform at base, an http or https URL. random
@@ -58,7 +58,7 @@
 	if random == nil {
 		random = rand.Float64
 	}
-	return &Client{http: httpget.New(base, MaxBody), rand: random}
+	return &Client{http: httpget.New(base, MaxBodyBytes), random: random}
 }
 
 // Page is one page of publications.
@@ -141,12 +141,12 @@
 	if len(body.Instances) > maxInstances {
 		return nil, 0, ErrTooLarge
 	}
-	for _, i := range body.Instances {
-		if _, err := netip.ParseAddrPort(i.PeerAddr); err != nil || i.ID == "" || i.DataCentre == "" {
+	for _, entry := range body.Instances {
+		if _, err := netip.ParseAddrPort(entry.PeerAddr); err != nil || entry.ID == "" || entry.DataCentre == "" {
 			invalid++
 			continue
 		}
-		list = append(list, core.ListedInstance{ID: i.ID, DataCentre: i.DataCentre, PeerAddr: i.PeerAddr, Leaving: i.Leaving})
+		list = append(list, core.ListedInstance{ID: entry.ID, DataCentre: entry.DataCentre, PeerAddr: entry.PeerAddr, Leaving: entry.Leaving})
 	}
 	return list, invalid, nil
 }
@@ -154,8 +154,8 @@
 // get repeats one call until it succeeds, at most attempts times.
 func (c *Client) get(ctx context.Context, path string, timeout time.Duration, body any) error {
 	var err error
-	for n := range attempts {
-		if n > 0 && !c.pause(ctx, backoffMin<<n) {
+	for attempt := range maxAttempts {
+		if attempt > 0 && !c.backOff(ctx, minBackoff<<attempt) {
 			break
 		}
 		if err = c.http.Get(ctx, path, timeout, body); err == nil || errors.Is(err, ErrTooLarge) {
@@ -167,8 +167,8 @@
 
 // pause waits between half of d and d, so that instances that failed together
 // do not retry together. It reports false when ctx has ended.
-func (c *Client) pause(ctx context.Context, d time.Duration) bool {
-	timer := time.NewTimer(d/2 + time.Duration(c.rand()*float64(d/2)))
+func (c *Client) backOff(ctx context.Context, d time.Duration) bool {
+	timer := time.NewTimer(d/2 + time.Duration(c.random()*float64(d/2)))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/internal/documents/documents_test.go
+++ b/internal/documents/documents_test.go
@@ -16,7 +16,7 @@
 	"arbutusdock.example/arbutusdock/internal/ids"
 )
 
-func serve(t *testing.T, h http.HandlerFunc) *Client {
+func newTestClient(t *testing.T, h http.HandlerFunc) *Client {
 	s := httptest.NewServer(h)
 	t.Cleanup(s.Close)
 	return New(s.URL, func() float64 { return 0 })
@@ -27,7 +27,7 @@
 // the revision of an incomplete page is taken for complete.
 func TestDocuments(t *testing.T) {
 	var query string
-	c := serve(t, func(w http.ResponseWriter, r *http.Request) {
+	c := newTestClient(t, func(w http.ResponseWriter, r *http.Request) {
 		query = r.URL.RequestURI()
 		_, _ = io.WriteString(w, `{"upto":9,"more":true,"documents":[{"key":"service/x","revision":4,"value":"a"},{"key":"profile/y","revision":5,"value":null}]}`)
 	})
@@ -40,7 +40,7 @@
 
 // Guards against a stale platform that looks up to date.
 func TestStale(t *testing.T) {
-	c := serve(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"upto":2,"documents":[]}`) })
+	c := newTestClient(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"upto":2,"documents":[]}`) })
 	page, err := c.Documents(context.Background(), 3, false)
 	assert.NilError(t, err)
 	assert.Equal(t, page.UpToRevision, ids.Revision(2))
@@ -49,8 +49,8 @@
 // Guards against a call that gives up at the first failure.
 func TestRetries(t *testing.T) {
 	calls := 0
-	c := serve(t, func(w http.ResponseWriter, _ *http.Request) {
-		if calls++; calls < attempts {
+	c := newTestClient(t, func(w http.ResponseWriter, _ *http.Request) {
+		if calls++; calls < maxAttempts {
 			w.WriteHeader(http.StatusTooManyRequests)
 			return
 		}
@@ -58,7 +58,7 @@
 	})
 	_, err := c.Documents(context.Background(), 0, false)
 	assert.NilError(t, err)
-	assert.Equal(t, calls, attempts)
+	assert.Equal(t, calls, maxAttempts)
 }
 
 // Guards against bad responses that are accepted or read without limit.
@@ -69,9 +69,9 @@
 		"old document":  `{"upto":9,"documents":[{"key":"a","revision":2}]}`,
 		"no key":        `{"upto":9,"documents":[{"key":"","revision":5}]}`,
 		"negative":      `{"upto":-1}`,
-		"endless value": `{"upto":1,"documents":[{"key":"a","revision":5,"value":"` + strings.Repeat("x", MaxBody) + `"}]}`,
+		"endless value": `{"upto":1,"documents":[{"key":"a","revision":5,"value":"` + strings.Repeat("x", MaxBodyBytes) + `"}]}`,
 	} {
-		c := serve(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, body) })
+		c := newTestClient(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, body) })
 		_, err := c.Documents(context.Background(), 3, false)
 		assert.Assert(t, err != nil, name)
 	}
@@ -80,7 +80,7 @@
 // Guards against a platform that accepts connections but never answers.
 func TestSilentPlatform(t *testing.T) {
 	release := make(chan struct{})
-	c := serve(t, func(http.ResponseWriter, *http.Request) { <-release })
+	c := newTestClient(t, func(http.ResponseWriter, *http.Request) { <-release })
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
 	_, _, err := c.Instances(ctx)
@@ -90,7 +90,7 @@
 
 // Guards against one bad entry that hides the rest of the list.
 func TestInstances(t *testing.T) {
-	c := serve(t, func(w http.ResponseWriter, _ *http.Request) {
+	c := newTestClient(t, func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, `{"instances":[{"id":"a","data_centre":"x","peer_addr":"127.0.0.1:1","caller_ip":"127.0.0.1","leaving":true},{"id":"b","data_centre":"x","peer_addr":"nowhere"}]}`)
 	})
 	list, invalid, err := c.Instances(context.Background())
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -29,9 +29,9 @@
 	// those that verify it.
 	clockSkew = 5 * time.Minute
 
-	certificateBlock = "CERTIFICATE"
-	keyBlock         = "PRIVATE KEY"
-	maxKeyFile       = 4096 // bytes
+	certificatePEMType = "CERTIFICATE"
+	keyPEMType         = "PRIVATE KEY"
+	maxKeyFileBytes    = 4096 // bytes
 )
 
 // CA is a fleet CA.
@@ -58,7 +58,7 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "create CA certificate")
 	}
-	if err := writePair(dir, "ca", der, private); err != nil {
+	if err := writeKeyPair(dir, "ca", der, private); err != nil {
 		return nil, err
 	}
 	return LoadCA(dir)
@@ -66,7 +66,7 @@
 
 // LoadCA reads ca.crt and ca.key from dir.
 func LoadCA(dir string) (*CA, error) {
-	der, err := readBlock(filepath.Join(dir, "ca.crt"), certificateBlock)
+	der, err := readPEMBlock(filepath.Join(dir, "ca.crt"), certificatePEMType)
 	if err != nil {
 		return nil, err
 	}
@@ -74,7 +74,7 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "parse CA certificate")
 	}
-	if der, err = readBlock(filepath.Join(dir, "ca.key"), keyBlock); err != nil {
+	if der, err = readPEMBlock(filepath.Join(dir, "ca.key"), keyPEMType); err != nil {
 		return nil, err
 	}
 	key, err := x509.ParsePKCS8PrivateKey(der)
@@ -109,7 +109,7 @@
 	if err != nil {
 		return eris.Wrapf(err, "create certificate of %s", id)
 	}
-	return writePair(dir, string(id), der, private)
+	return writeKeyPair(dir, string(id), der, private)
 }
 
 func newTemplate(name string, validity time.Duration) (*x509.Certificate, error) {
@@ -126,20 +126,20 @@
 	}, nil
 }
 
-func writePair(dir, name string, der []byte, private ed25519.PrivateKey) error {
+func writeKeyPair(dir, name string, der []byte, private ed25519.PrivateKey) error {
 	key, err := x509.MarshalPKCS8PrivateKey(private)
 	if err != nil {
 		return eris.Wrap(err, "encode key")
 	}
-	if err := create(filepath.Join(dir, name+".key"), pem.EncodeToMemory(&pem.Block{Type: keyBlock, Bytes: key}), 0o600); err != nil {
+	if err := writeNewFile(filepath.Join(dir, name+".key"), pem.EncodeToMemory(&pem.Block{Type: keyPEMType, Bytes: key}), 0o600); err != nil {
 		return err
 	}
-	return create(filepath.Join(dir, name+".crt"), pem.EncodeToMemory(&pem.Block{Type: certificateBlock, Bytes: der}), 0o644)
+	return writeNewFile(filepath.Join(dir, name+".crt"), pem.EncodeToMemory(&pem.Block{Type: certificatePEMType, Bytes: der}), 0o644)
 }
 
 // create writes a new file. It never replaces one: a lost CA or admission key
 // invalidates what was issued under it.
-func create(path string, data []byte, mode os.FileMode) error {
+func writeNewFile(path string, data []byte, mode os.FileMode) error {
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, mode)
 	if err != nil {
 		return eris.Wrap(err, "create key file")
@@ -148,14 +148,14 @@
 	return eris.Wrapf(errors.Join(err, f.Close()), "write %s", path)
 }
 
-func readBlock(path, kind string) ([]byte, error) {
+func readPEMBlock(path, pemType string) ([]byte, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, eris.Wrap(err, "read key file")
 	}
 	block, _ := pem.Decode(data)
-	if block == nil || block.Type != kind {
-		return nil, eris.Errorf("read %s: no PEM block of type %s", path, kind)
+	if block == nil || block.Type != pemType {
+		return nil, eris.Errorf("read %s: no PEM block of type %s", path, pemType)
 	}
 	return block.Bytes, nil
 }
@@ -167,7 +167,7 @@
 	if _, err := rand.Read(key); err != nil {
 		return eris.Wrap(err, "draw admission key")
 	}
-	return create(filepath.Join(dir, fmt.Sprintf("admission-%d.key", id)), []byte(hex.EncodeToString(key)+"\n"), 0o600)
+	return writeNewFile(filepath.Join(dir, fmt.Sprintf("admission-%d.key", id)), []byte(hex.EncodeToString(key)+"\n"), 0o600)
 }
 
 // LoadAdmissionKey reads an admission key file.
@@ -176,8 +176,8 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "read admission key")
 	}
-	if len(data) > maxKeyFile {
-		return nil, eris.Errorf("read admission key: %s is larger than %d bytes", path, maxKeyFile)
+	if len(data) > maxKeyFileBytes {
+		return nil, eris.Errorf("read admission key: %s is larger than %d bytes", path, maxKeyFileBytes)
 	}
 	key, err := hex.DecodeString(strings.TrimSpace(string(data)))
 	if err != nil || len(key) != AdmissionKeyBytes {
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -43,7 +43,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, len(key), AdmissionKeyBytes)
 	bad := filepath.Join(dir, "bad")
-	for _, text := range []string{"", "00", "zz", string(make([]byte, maxKeyFile+1))} {
+	for _, text := range []string{"", "00", "zz", string(make([]byte, maxKeyFileBytes+1))} {
 		assert.NilError(t, os.WriteFile(bad, []byte(text), 0o600))
 		_, err := LoadAdmissionKey(bad)
 		assert.Assert(t, err != nil, "%q", text)
--- a/internal/reload/reload.go
+++ b/internal/reload/reload.go
@@ -16,26 +16,26 @@
 // settingsPoll is the interval at which the settings file is checked for a
 // change that no signal has announced. One look at its time of change costs a
 // few microseconds.
-const settingsPoll = 5 * time.Second
+const pollInterval = 5 * time.Second
 
 // Watcher watches the settings file of one instance.
 type Watcher struct {
-	running settings.Settings // with which the instance was started
-	level   *slog.LevelVar
-	log     *slog.Logger
-	asked   chan struct{}
+	running  settings.Settings // with which the instance was started
+	level    *slog.LevelVar
+	log      *slog.Logger
+	requests chan struct{}
 }
 
 // New returns a Watcher of the file from which the running settings were read.
 // It changes level, and logs to log.
 func New(running settings.Settings, level *slog.LevelVar, log *slog.Logger) *Watcher {
-	return &Watcher{running: running, level: level, log: log, asked: make(chan struct{}, 1)}
+	return &Watcher{running: running, level: level, log: log, requests: make(chan struct{}, 1)}
 }
 
 // Reload asks for the settings file to be read again. It does not wait.
 func (w *Watcher) Reload() {
 	select {
-	case w.asked <- struct{}{}:
+	case w.requests <- struct{}{}:
 	default: // one is already asked for
 	}
 }
@@ -46,19 +46,19 @@
 	if w.running.File == "" {
 		return
 	}
-	ticker := time.NewTicker(settingsPoll)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
-	last := modified(w.running.File)
+	lastModTime := modTime(w.running.File)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-w.asked:
-			last = modified(w.running.File)
+		case <-w.requests:
+			lastModTime = modTime(w.running.File)
 			w.apply("signal")
 		case <-ticker.C:
-			if at := modified(w.running.File); !at.Equal(last) {
-				last = at
+			if current := modTime(w.running.File); !current.Equal(lastModTime) {
+				lastModTime = current
 				w.apply("file changed")
 			}
 		}
@@ -67,7 +67,7 @@
 
 // modified returns the time of the last change of a file, zero when it cannot
 // be read; the file may be absent while it is replaced.
-func modified(file string) time.Time {
+func modTime(file string) time.Time {
 	info, err := os.Stat(file)
 	if err != nil {
 		return time.Time{}
@@ -78,22 +78,22 @@
 // apply puts the log level of the file in force and reports whether anything
 // else differs from the start. A file with faults changes nothing.
 func (w *Watcher) apply(cause string) {
-	next, err := settings.Load(w.running.File)
+	loaded, err := settings.Load(w.running.File)
 	if err != nil {
 		w.log.Error("reload-refused", "cause", cause, "error", err)
 		return
 	}
-	if (next.Passthrough == nil) != (w.running.Passthrough == nil) {
+	if (loaded.Passthrough == nil) != (w.running.Passthrough == nil) {
 		w.log.Error("reload-refused", "cause", cause, "error", "the table [passthrough] has come or gone")
 		return
 	}
-	w.level.Set(logs(&next).Level)
-	*logs(&next) = *logs(&w.running)
-	w.log.Info("reloaded", "cause", cause, "log_level", w.level.Level(), "restart_needed", !reflect.DeepEqual(next, w.running))
+	w.level.Set(logSettings(&loaded).Level)
+	*logSettings(&loaded) = *logSettings(&w.running)
+	w.log.Info("reloaded", "cause", cause, "log_level", w.level.Level(), "restart_needed", !reflect.DeepEqual(loaded, w.running))
 }
 
 // logs returns the log settings of either kind of instance.
-func logs(s *settings.Settings) *settings.Log {
+func logSettings(s *settings.Settings) *settings.Log {
 	if s.Passthrough != nil {
 		return &s.Passthrough.Log
 	}
--- a/internal/reload/reload_test.go
+++ b/internal/reload/reload_test.go
@@ -55,7 +55,7 @@
 	level := new(slog.LevelVar)
 	level.Set(s.Passthrough.Log.Level)
 	w := New(s, level, telemetry.NewLogger(&log, level, "a"))
-	last := func() string {
+	lastLine := func() string {
 		lines := strings.Split(strings.TrimSpace(log.String()), "\n")
 		return lines[len(lines)-1]
 	}
@@ -64,14 +64,14 @@
 	assert.Equal(t, w.level.Level(), slog.LevelWarn)
 	write("info", "")
 	w.apply("signal")
-	assert.Assert(t, strings.HasSuffix(last(), "msg=reloaded instance=a cause=signal log_level=INFO restart_needed=false"), last())
+	assert.Assert(t, strings.HasSuffix(lastLine(), "msg=reloaded instance=a cause=signal log_level=INFO restart_needed=false"), lastLine())
 	write("debug", "grace='1ms'\n")
 	w.apply("signal")
-	assert.Assert(t, strings.Contains(last(), "msg=reload-refused"), last())
+	assert.Assert(t, strings.Contains(lastLine(), "msg=reload-refused"), lastLine())
 	assert.Equal(t, w.level.Level(), slog.LevelInfo)
 	write("info", "grace='9s'\n")
 	w.apply("signal")
-	assert.Assert(t, strings.HasSuffix(last(), "restart_needed=true"), last())
+	assert.Assert(t, strings.HasSuffix(lastLine(), "restart_needed=true"), lastLine())
 
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -79,7 +79,7 @@
 	time.Sleep(50 * time.Millisecond)
 	write("debug", "")
 	assert.NilError(t, os.Chtimes(file, time.Now(), time.Now().Add(time.Minute)))
-	for range 2 * settingsPoll / (100 * time.Millisecond) {
+	for range 2 * pollInterval / (100 * time.Millisecond) {
 		if w.level.Level() == slog.LevelDebug {
 			break
 		}
--- a/internal/settings/passthrough.go
+++ b/internal/settings/passthrough.go
@@ -37,12 +37,12 @@
 // parsePassthrough reads the tables of a pass-through instance.
 func parsePassthrough(r *reader) *Passthrough {
 	p := &Passthrough{
-		Instance:          ids.Instance(r.name("instance.id")),
-		DataCentre:        ids.DataCentre(r.name("instance.data_centre")),
-		Listen:            r.addrPort(r.need("passthrough.listen"), netip.AddrPort{}),
-		Ready:             r.addrPort(r.need("passthrough.ready"), netip.AddrPort{}),
+		Instance:          ids.Instance(r.requiredName("instance.id")),
+		DataCentre:        ids.DataCentre(r.requiredName("instance.data_centre")),
+		Listen:            r.addrPort(r.requireKey("passthrough.listen"), netip.AddrPort{}),
+		Ready:             r.addrPort(r.requireKey("passthrough.ready"), netip.AddrPort{}),
 		Metrics:           r.addrPort("passthrough.metrics", netip.AddrPort{}),
-		Platform:          r.addrPort(r.need("passthrough.platform"), netip.AddrPort{}),
+		Platform:          r.addrPort(r.requireKey("passthrough.platform"), netip.AddrPort{}),
 		Control:           r.addrPort("passthrough.control", netip.AddrPort{}),
 		Seeds:             r.addrPorts("passthrough.seeds"),
 		ApplyWithin:       r.duration("passthrough.apply_within", 3*time.Second, 100*time.Millisecond, 10*time.Minute),
@@ -52,7 +52,7 @@
 		MemoryBytes:       int64(r.float("passthrough.memory_mb", 0, 0, 1<<20) * (1 << 20)),
 	}
 	p.Advertise = r.addrPort("passthrough.advertise", p.Control)
-	p.Regions = r.texts("regions")
+	p.Regions = r.stringTable("regions")
 	parseLog(r, &p.Log)
 	parseTrace(r, &p.Trace)
 	return p
--- a/internal/settings/reader.go
+++ b/internal/settings/reader.go
@@ -17,20 +17,20 @@
 )
 
 // required is the default value of an integer key that has none.
-const required = -1
+const noDefault = -1
 
 // Fault is one fault of a settings file.
 type Fault struct {
-	Line int    // 0 when the fault is a missing key
-	Key  string // dotted key, with the index of a repeated table
-	Text string
+	Line    int    // 0 when the fault is a missing key
+	Key     string // dotted key, with the index of a repeated table
+	Message string
 }
 
 func (f Fault) Error() string {
 	if f.Line == 0 {
-		return fmt.Sprintf("key %s: %s", f.Key, f.Text)
+		return fmt.Sprintf("key %s: %s", f.Key, f.Message)
 	}
-	return fmt.Sprintf("line %d: key %s: %s", f.Line, f.Key, f.Text)
+	return fmt.Sprintf("line %d: key %s: %s", f.Line, f.Key, f.Message)
 }
 
 // Faults is every fault of one settings file, in order of lines.
@@ -47,30 +47,30 @@
 // reader gives typed access to the values of a TOML document and collects the
 // faults. A key that no accessor has asked for is unknown.
 type reader struct {
-	values map[string]any
-	lines  map[string]int
-	count  map[string]int // entries of repeated tables
-	asked  map[string]bool
-	faults Faults
+	values     map[string]any
+	lines      map[string]int
+	tableCount map[string]int // entries of repeated tables
+	accessed   map[string]bool
+	faults     Faults
 }
 
 func newReader(data []byte) (*reader, error) {
-	r := &reader{values: map[string]any{}, lines: map[string]int{}, count: map[string]int{}, asked: map[string]bool{}}
+	r := &reader{values: map[string]any{}, lines: map[string]int{}, tableCount: map[string]int{}, accessed: map[string]bool{}}
 	var tree map[string]any
 	if err := toml.Unmarshal(data, &tree); err != nil {
-		var at *toml.DecodeError
-		if errors.As(err, &at) {
-			line, _ := at.Position()
-			return nil, Faults{{Line: line, Key: strings.Join(at.Key(), "."), Text: "not valid TOML: " + at.Error()}}
+		var decodeErr *toml.DecodeError
+		if errors.As(err, &decodeErr) {
+			line, _ := decodeErr.Position()
+			return nil, Faults{{Line: line, Key: strings.Join(decodeErr.Key(), "."), Message: "not valid TOML: " + decodeErr.Error()}}
 		}
-		return nil, Faults{{Text: "not valid TOML: " + err.Error()}}
+		return nil, Faults{{Message: "not valid TOML: " + err.Error()}}
 	}
 	r.flatten("", tree)
-	r.index(data)
+	r.indexLines(data)
 	return r, nil
 }
 
-func join(prefix, key string) string {
+func joinKey(prefix, key string) string {
 	if prefix == "" {
 		return key
 	}
@@ -82,17 +82,17 @@
 	switch v := v.(type) {
 	case map[string]any:
 		for key, value := range v {
-			r.flatten(join(prefix, key), value)
+			r.flatten(joinKey(prefix, key), value)
 		}
 	case []any:
 		tables := 0
-		for _, e := range v {
-			if t, ok := e.(map[string]any); ok {
-				r.flatten(fmt.Sprintf("%s[%d]", prefix, tables), t)
+		for _, element := range v {
+			if table, ok := element.(map[string]any); ok {
+				r.flatten(fmt.Sprintf("%s[%d]", prefix, tables), table)
 				tables++
 			}
 		}
-		r.count[prefix] = tables
+		r.tableCount[prefix] = tables
 		if tables == 0 {
 			r.values[prefix] = v
 		}
@@ -102,44 +102,44 @@
 }
 
 // index records the line of each dotted key.
-func (r *reader) index(data []byte) {
+func (r *reader) indexLines(data []byte) {
 	var p unstable.Parser
 	p.Reset(data)
 	prefix, seen := "", map[string]int{}
 	for p.NextExpression() {
-		e := p.Expression()
-		key, line := keyOf(&p, e)
-		switch e.Kind {
+		expression := p.Expression()
+		key, line := keyAndLine(&p, expression)
+		switch expression.Kind {
 		case unstable.Table:
 			prefix = key
 		case unstable.ArrayTable:
 			prefix = fmt.Sprintf("%s[%d]", key, seen[key])
 			seen[key]++
 		case unstable.KeyValue:
-			r.indexValue(&p, join(prefix, key), line, e.Value())
+			r.indexValue(&p, joinKey(prefix, key), line, expression.Value())
 			continue
 		}
 		r.lines[prefix] = line
 	}
 }
 
-func (r *reader) indexValue(p *unstable.Parser, key string, line int, v *unstable.Node) {
+func (r *reader) indexValue(p *unstable.Parser, key string, line int, value *unstable.Node) {
 	r.lines[key] = line
-	if v.Kind != unstable.InlineTable {
+	if value.Kind != unstable.InlineTable {
 		return
 	}
-	for it := v.Children(); it.Next(); {
+	for it := value.Children(); it.Next(); {
 		if n := it.Node(); n.Kind == unstable.KeyValue {
-			child, at := keyOf(p, n)
-			r.indexValue(p, join(key, child), at, n.Value())
+			child, childLine := keyAndLine(p, n)
+			r.indexValue(p, joinKey(key, child), childLine, n.Value())
 		}
 	}
 }
 
-func keyOf(p *unstable.Parser, e *unstable.Node) (string, int) {
+func keyAndLine(p *unstable.Parser, expression *unstable.Node) (string, int) {
 	var parts []string
 	line := 0
-	for it := e.Key(); it.Next(); {
+	for it := expression.Key(); it.Next(); {
 		if n := it.Node(); n.Kind == unstable.Key {
 			parts = append(parts, string(n.Data))
 			if line == 0 {
@@ -151,13 +151,13 @@
 }
 
 // fault records a fault at key, or at the innermost table that has a line.
-func (r *reader) fault(key, format string, args ...any) {
-	line, at := 0, key
-	for at != "" && line == 0 {
-		line = r.lines[at]
-		at = at[:max(strings.LastIndexByte(at, '.'), 0)]
+func (r *reader) addFault(key, format string, args ...any) {
+	line, prefix := 0, key
+	for prefix != "" && line == 0 {
+		line = r.lines[prefix]
+		prefix = prefix[:max(strings.LastIndexByte(prefix, '.'), 0)]
 	}
-	r.faults = append(r.faults, Fault{Line: line, Key: key, Text: fmt.Sprintf(format, args...)})
+	r.faults = append(r.faults, Fault{Line: line, Key: key, Message: fmt.Sprintf(format, args...)})
 }
 
 func (r *reader) has(key string) bool {
@@ -171,12 +171,12 @@
 	return ok
 }
 
-func (r *reader) missing(key string) { r.fault(key, "missing") }
+func (r *reader) reportMissing(key string) { r.addFault(key, "missing") }
 
 // need reports key as missing when it is absent, and returns it.
-func (r *reader) need(key string) string {
+func (r *reader) requireKey(key string) string {
 	if !r.has(key) {
-		r.missing(key)
+		r.reportMissing(key)
 	}
 	return key
 }
@@ -184,8 +184,8 @@
 // finish reports unknown keys and returns all faults.
 func (r *reader) finish() error {
 	for key := range r.values {
-		if !r.asked[key] {
-			r.fault(key, "unknown key")
+		if !r.accessed[key] {
+			r.addFault(key, "unknown key")
 		}
 	}
 	if len(r.faults) == 0 {
@@ -201,8 +201,8 @@
 }
 
 // get returns the value of key when it is present and of type T.
-func get[T any](r *reader, key, kind string) (T, bool) {
-	r.asked[key] = true
+func get[T any](r *reader, key, expected string) (T, bool) {
+	r.accessed[key] = true
 	var zero T
 	v, ok := r.values[key]
 	if !ok {
@@ -210,32 +210,32 @@
 	}
 	t, ok := v.(T)
 	if !ok {
-		r.fault(key, "must be %s", kind)
+		r.addFault(key, "must be %s", expected)
 	}
 	return t, ok
 }
 
 // tables returns the prefix of each entry of a repeated table.
-func (r *reader) tables(key string) []string {
-	var at []string
-	for i := range r.count[key] {
-		at = append(at, fmt.Sprintf("%s[%d]", key, i))
+func (r *reader) tablePrefixes(key string) []string {
+	var prefixes []string
+	for i := range r.tableCount[key] {
+		prefixes = append(prefixes, fmt.Sprintf("%s[%d]", key, i))
 	}
-	return at
+	return prefixes
 }
 
-func (r *reader) text(key string) string {
+func (r *reader) requiredString(key string) string {
 	v, ok := get[string](r, key, "a string")
 	if v == "" && (ok || !r.has(key)) {
-		r.missing(key)
+		r.reportMissing(key)
 	}
 	return v
 }
 
-func (r *reader) name(key string) string {
-	v := r.text(key)
+func (r *reader) requiredName(key string) string {
+	v := r.requiredString(key)
 	if v != "" && !ids.ValidName(v) {
-		r.fault(key, "is %q, must be %s", v, ids.NameRule)
+		r.addFault(key, "is %q, must be %s", v, ids.NameRule)
 	}
 	return v
 }
@@ -243,52 +243,52 @@
 func (r *reader) integer(key string, def, low, high int64) int64 {
 	v, ok := get[int64](r, key, fmt.Sprintf("an integer from %d to %d", low, high))
 	if !ok {
-		if def == required && !r.has(key) {
-			r.missing(key)
+		if def == noDefault && !r.has(key) {
+			r.reportMissing(key)
 		}
 		return max(def, 0)
 	}
 	if v < low || v > high {
-		r.fault(key, "is %d, must be an integer from %d to %d", v, low, high)
+		r.addFault(key, "is %d, must be an integer from %d to %d", v, low, high)
 	}
 	return v
 }
 
 func (r *reader) float(key string, def, low, high float64) float64 {
-	if whole, ok := r.values[key].(int64); ok {
-		r.values[key] = float64(whole)
+	if integer, ok := r.values[key].(int64); ok {
+		r.values[key] = float64(integer)
 	}
 	v, ok := get[float64](r, key, fmt.Sprintf("a number from %g to %g", low, high))
 	if !ok {
 		return def
 	}
 	if !(v >= low && v <= high) { // also refuses NaN
-		r.fault(key, "is %g, must be a number from %g to %g", v, low, high)
+		r.addFault(key, "is %g, must be a number from %g to %g", v, low, high)
 	}
 	return v
 }
 
 func (r *reader) duration(key string, def, low, high time.Duration) time.Duration {
-	kind := fmt.Sprintf("a duration from %q to %q", low, high)
-	v, ok := get[string](r, key, kind)
+	expected := fmt.Sprintf("a duration from %q to %q", low, high)
+	v, ok := get[string](r, key, expected)
 	if !ok {
 		return def
 	}
 	d, err := time.ParseDuration(v)
 	if err != nil || d < low || d > high {
-		r.fault(key, "is %q, must be %s", v, kind)
+		r.addFault(key, "is %q, must be %s", v, expected)
 	}
 	return d
 }
 
 func (r *reader) oneOf(key, def string, allowed ...string) string {
-	kind := "one of " + strings.Join(allowed, ", ")
-	v, ok := get[string](r, key, kind)
+	expected := "one of " + strings.Join(allowed, ", ")
+	v, ok := get[string](r, key, expected)
 	if !ok {
 		return def
 	}
 	if !slices.Contains(allowed, v) {
-		r.fault(key, "is %q, must be %s", v, kind)
+		r.addFault(key, "is %q, must be %s", v, expected)
 		return def
 	}
 	return v
@@ -301,7 +301,7 @@
 	}
 	a, err := netip.ParseAddr(v)
 	if err != nil {
-		r.fault(key, "is %q, must be an IP address", v)
+		r.addFault(key, "is %q, must be an IP address", v)
 	}
 	return a
 }
@@ -313,17 +313,17 @@
 	}
 	a, err := netip.ParseAddrPort(v)
 	if err != nil {
-		r.fault(key, "is %q, must be IP:port with a port from 0 to 65535", v)
+		r.addFault(key, "is %q, must be IP:port with a port from 0 to 65535", v)
 	}
 	return a
 }
 
 // texts reads a table whose keys are names and whose values are strings.
-func (r *reader) texts(table string) map[string]string {
+func (r *reader) stringTable(table string) map[string]string {
 	out := map[string]string{}
 	for key := range r.values {
 		if name, ok := strings.CutPrefix(key, table+"."); ok {
-			out[name] = r.text(key)
+			out[name] = r.requiredString(key)
 		}
 	}
 	return out
@@ -336,7 +336,7 @@
 	for _, v := range list {
 		text, _ := v.(string)
 		if _, err := netip.ParseAddrPort(text); err != nil {
-			r.fault(key, "has %v, must be a list of IP:port with ports from 0 to 65535", v)
+			r.addFault(key, "has %v, must be a list of IP:port with ports from 0 to 65535", v)
 			continue
 		}
 		out = append(out, text)
@@ -345,10 +345,10 @@
 }
 
 func (r *reader) httpURL(key string) string {
-	v := r.text(key)
+	v := r.requiredString(key)
 	u, err := url.Parse(v)
 	if v != "" && (err != nil || u.Host == "" || (u.Scheme != "http" && u.Scheme != "https")) {
-		r.fault(key, "is %q, must be http://IP:port or https://IP:port", v)
+		r.addFault(key, "is %q, must be http://IP:port or https://IP:port", v)
 	}
 	return strings.TrimSuffix(v, "/")
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -141,56 +141,56 @@
 }
 
 func parseIdentity(r *reader, s *Settings) {
-	s.Instance = ids.Instance(r.name("instance.id"))
-	s.DataCentre = ids.DataCentre(r.name("instance.data_centre"))
+	s.Instance = ids.Instance(r.requiredName("instance.id"))
+	s.DataCentre = ids.DataCentre(r.requiredName("instance.data_centre"))
 	s.Linger = r.duration("instance.linger", 3*time.Second, 0, time.Minute)
 	if r.has("instance.random_seed") {
 		seed := uint64(r.integer("instance.random_seed", 0, 0, 1<<62))
 		s.RandomSeed = &seed
 	}
-	s.TLS = TLS{CA: r.text("tls.ca"), Certificate: r.text("tls.certificate"), Key: r.text("tls.key")}
+	s.TLS = TLS{CA: r.requiredString("tls.ca"), Certificate: r.requiredString("tls.certificate"), Key: r.requiredString("tls.key")}
 }
 
 func parseAddresses(r *reader, s *Settings) {
-	s.ServiceIP = r.addr(r.need("service.listen_ip"), netip.Addr{})
+	s.ServiceIP = r.addr(r.requireKey("service.listen_ip"), netip.Addr{})
 	s.BackendIP = r.addr("service.backend_ip", s.ServiceIP)
-	s.PeerListen = r.addrPort(r.need("peer.listen"), netip.AddrPort{})
+	s.PeerListen = r.addrPort(r.requireKey("peer.listen"), netip.AddrPort{})
 	s.PeerAdvertise = r.addrPort("peer.advertise", s.PeerListen)
 	if s.PeerAdvertise.IsValid() && s.PeerAdvertise.Addr().IsUnspecified() {
-		r.fault("peer.advertise", "must name the address that other instances reach when peer.listen is unspecified")
+		r.addFault("peer.advertise", "must name the address that other instances reach when peer.listen is unspecified")
 	}
-	s.AdminListen = r.addrPort(r.need("admin.listen"), netip.AddrPort{})
+	s.AdminListen = r.addrPort(r.requireKey("admin.listen"), netip.AddrPort{})
 	if s.AdminListen.IsValid() && !s.AdminListen.Addr().IsLoopback() {
-		r.fault("admin.listen", "must be a loopback address")
+		r.addFault("admin.listen", "must be a loopback address")
 	}
 	s.PlatformURL = r.httpURL("platform.url")
 }
 
 func parseSeeds(r *reader, s *Settings) {
-	for _, at := range r.tables("seed") {
+	for _, prefix := range r.tablePrefixes("seed") {
 		s.Seeds = append(s.Seeds, Seed{
-			ID:         ids.Instance(r.name(at + ".id")),
-			DataCentre: ids.DataCentre(r.name(at + ".data_centre")),
-			Address:    r.addrPort(r.need(at+".address"), netip.AddrPort{}),
+			ID:         ids.Instance(r.requiredName(prefix + ".id")),
+			DataCentre: ids.DataCentre(r.requiredName(prefix + ".data_centre")),
+			Address:    r.addrPort(r.requireKey(prefix+".address"), netip.AddrPort{}),
 		})
 	}
 }
 
 func parseAdmission(r *reader, s *Settings) {
-	s.Admission.SigningKey = uint8(r.integer("admission.signing_key", required, 0, 255))
+	s.Admission.SigningKey = uint8(r.integer("admission.signing_key", noDefault, 0, 255))
 	s.Admission.MaxEntries = int(r.integer("admission.max_entries", 1<<16, 1<<10, 1<<24))
 	s.Admission.MaxBytes = int(r.integer("admission.max_bytes", 24<<20, 1<<20, 1<<33))
 	seen := map[uint8]bool{}
-	for _, at := range r.tables("admission.key") {
-		k := AdmissionKey{ID: uint8(r.integer(at+".id", required, 0, 255)), File: r.text(at + ".file")}
+	for _, prefix := range r.tablePrefixes("admission.key") {
+		k := AdmissionKey{ID: uint8(r.integer(prefix+".id", noDefault, 0, 255)), File: r.requiredString(prefix + ".file")}
 		if seen[k.ID] {
-			r.fault(at+".id", "is used by an earlier key")
+			r.addFault(prefix+".id", "is used by an earlier key")
 		}
 		seen[k.ID] = true
 		s.Admission.Keys = append(s.Admission.Keys, k)
 	}
 	if r.has("admission.signing_key") && !seen[s.Admission.SigningKey] {
-		r.fault("admission.signing_key", "must be the id of an [[admission.key]]")
+		r.addFault("admission.signing_key", "must be the id of an [[admission.key]]")
 	}
 }
 
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -87,13 +87,13 @@
 
 	template, err := os.ReadFile("../../deploy/settings.toml")
 	assert.NilError(t, err)
-	text := strings.Replace(string(template), `{{@}} = {{.|json}}`, `a = "south"`, 1)
-	text = regexp.MustCompile(`\{\{[#/][^}]*\}\}`).ReplaceAllString(text, "")
-	text = strings.NewReplacer(`{{node|json}}`, `"edge-1"`, `{{zone|json}}`, `"a"`, `{{ip}}`, "10.1.0.10", `{{.|json}}`, `"10.1.0.10:8166"`, `{{,}}`, "",
-		`{{limits.memory-mb}}`, "414").Replace(text)
-	text = regexp.MustCompile(`\{\{[a-z.-]*\|json\}\}`).ReplaceAllString(text, `"10.1.0.10:81"`)
-	text = regexp.MustCompile(`\{\{[a-z.-]*-ms\}\}`).ReplaceAllString(text, "3000")
-	text = regexp.MustCompile(`\{\{[a-z.-]*-s\}\}`).ReplaceAllString(text, "6")
-	_, err = Parse([]byte(text))
-	assert.NilError(t, err, "%s", text)
+	content := strings.Replace(string(template), `{{@}} = {{.|json}}`, `a = "south"`, 1)
+	content = regexp.MustCompile(`\{\{[#/][^}]*\}\}`).ReplaceAllString(content, "")
+	content = strings.NewReplacer(`{{node|json}}`, `"edge-1"`, `{{zone|json}}`, `"a"`, `{{ip}}`, "10.1.0.10", `{{.|json}}`, `"10.1.0.10:8166"`, `{{,}}`, "",
+		`{{limits.memory-mb}}`, "414").Replace(content)
+	content = regexp.MustCompile(`\{\{[a-z.-]*\|json\}\}`).ReplaceAllString(content, `"10.1.0.10:81"`)
+	content = regexp.MustCompile(`\{\{[a-z.-]*-ms\}\}`).ReplaceAllString(content, "3000")
+	content = regexp.MustCompile(`\{\{[a-z.-]*-s\}\}`).ReplaceAllString(content, "6")
+	_, err = Parse([]byte(content))
+	assert.NilError(t, err, "%s", content)
 }
--- a/internal/telemetry/log.go
+++ b/internal/telemetry/log.go
@@ -14,13 +14,13 @@
 
 // NewLogger returns a logger that writes one key=value line for each event.
 func NewLogger(w io.Writer, level slog.Leveler, instance ids.Instance) *slog.Logger {
-	options := &slog.HandlerOptions{Level: level, ReplaceAttr: errorText}
+	options := &slog.HandlerOptions{Level: level, ReplaceAttr: errorMessageOnly}
 	return slog.New(slog.NewTextHandler(w, options)).With("instance", string(instance))
 }
 
 // errorText logs the message of an error only. The text handler formats values
 // with %+v, for which eris prints the stack trace.
-func errorText(_ []string, a slog.Attr) slog.Attr {
+func errorMessageOnly(_ []string, a slog.Attr) slog.Attr {
 	if err, ok := a.Value.Any().(error); ok {
 		a.Value = slog.StringValue(err.Error())
 	}
@@ -40,8 +40,8 @@
 			detail = rest[len(quoted):]
 			continue
 		}
-		word, more, _ := strings.Cut(detail, " ")
-		detail = more
+		word, remainder, _ := strings.Cut(detail, " ")
+		detail = remainder
 		key, value, ok := strings.Cut(word, "=")
 		switch {
 		case ok && key != "":
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -58,28 +58,28 @@
 // sampling share that is not kept.
 func TestSpans(t *testing.T) {
 	spans := tracetest.NewSpanRecorder()
-	tr := newTracer(spans, 0.25, "a1")
+	tracer := newTracer(spans, 0.25, "a1")
 	sampled := 0
 	for i := range uint64(4000) {
-		if tr.Sampled(i) {
+		if tracer.Sampled(i) {
 			sampled++
 		}
-		tr.Record(Hop{Name: "received", RequestID: i, Start: time.Unix(1, 0), Duration: time.Second})
-		tr.Record(Hop{Name: "answered", RequestID: i, Service: "counter", Target: "t1", Start: time.Unix(2, 0)})
+		tracer.Record(Hop{Name: "received", RequestID: i, Start: time.Unix(1, 0), Duration: time.Second})
+		tracer.Record(Hop{Name: "answered", RequestID: i, Service: "counter", Target: "t1", Start: time.Unix(2, 0)})
 	}
 	assert.Assert(t, sampled > 850 && sampled < 1150, "%d of 4000", sampled)
 	ended := spans.Ended()
 	assert.Equal(t, len(ended), 2*sampled)
 	assert.Equal(t, ended[0].SpanContext().TraceID(), ended[1].SpanContext().TraceID())
 	other := tracetest.NewSpanRecorder()
-	newTracer(other, 1, "a2").Record(Hop{Name: "relayed", RequestID: binary.BigEndian.Uint64(traceBytes(ended[0])), Start: time.Unix(1, 0)})
+	newTracer(other, 1, "a2").Record(Hop{Name: "relayed", RequestID: binary.BigEndian.Uint64(requestIDBytes(ended[0])), Start: time.Unix(1, 0)})
 	assert.Equal(t, ended[0].SpanContext().TraceID(), other.Ended()[0].SpanContext().TraceID(), "at another instance")
 	assert.Equal(t, ended[0].EndTime().Sub(ended[0].StartTime()), time.Second)
-	assert.NilError(t, tr.Close(context.Background()))
+	assert.NilError(t, tracer.Close(context.Background()))
 }
 
 // traceBytes returns the request number in the trace id of a span.
-func traceBytes(s sdktrace.ReadOnlySpan) []byte {
+func requestIDBytes(s sdktrace.ReadOnlySpan) []byte {
 	id := s.SpanContext().TraceID()
 	return id[8:]
 }
@@ -88,31 +88,31 @@
 // disabled tracer that records.
 func TestExporter(t *testing.T) {
 	var out bytes.Buffer
-	tr, err := NewTracer(&out, 1, "a1")
+	tracer, err := NewTracer(&out, 1, "a1")
 	assert.NilError(t, err)
-	tr.Record(Hop{Name: "received", RequestID: 1, Start: time.Unix(1, 0)})
-	assert.NilError(t, tr.Close(context.Background()))
+	tracer.Record(Hop{Name: "received", RequestID: 1, Start: time.Unix(1, 0)})
+	assert.NilError(t, tracer.Close(context.Background()))
 	assert.Assert(t, strings.Contains(out.String(), `"Name":"received"`))
-	off, err := NewTracer(nil, 1, "a1")
+	disabled, err := NewTracer(nil, 1, "a1")
 	assert.NilError(t, err)
-	assert.Assert(t, !off.Sampled(1))
-	assert.NilError(t, off.Close(context.Background()))
+	assert.Assert(t, !disabled.Sampled(1))
+	assert.NilError(t, disabled.Close(context.Background()))
 }
 
-type stuck struct{ release chan struct{} }
+type blockedWriter struct{ release chan struct{} }
 
-func (s stuck) Write(p []byte) (int, error) { <-s.release; return len(p), nil }
+func (s blockedWriter) Write(p []byte) (int, error) { <-s.release; return len(p), nil }
 
 // Guards against a log stream that nobody reads and that stops the daemon, and
 // against lines lost at the end.
 func TestWriterNeverBlocks(t *testing.T) {
-	s := stuck{release: make(chan struct{})}
-	w := NewAsyncWriter(s, 4)
+	blocked := blockedWriter{release: make(chan struct{})}
+	w := NewAsyncWriter(blocked, 4)
 	for range 100 {
 		_, _ = w.Write([]byte("line\n"))
 	}
 	assert.Assert(t, w.Stats().Dropped >= 95)
-	close(s.release)
+	close(blocked.release)
 	w.Close()
 	var out bytes.Buffer
 	w = NewAsyncWriter(&out, 16)
--- a/internal/telemetry/trace.go
+++ b/internal/telemetry/trace.go
@@ -28,48 +28,48 @@
 
 // Tracer turns hops of sampled requests into spans.
 type Tracer struct {
-	provider *sdktrace.TracerProvider
-	tracer   trace.Tracer
-	below    uint64 // a request is sampled when its hash is at most this
+	provider        *sdktrace.TracerProvider
+	tracer          trace.Tracer
+	sampleThreshold uint64 // a request is sampled when its hash is at most this
 }
 
 // NewTracer returns a tracer that writes to w, or one that records nothing
 // when w is nil. sample is the share of requests that are traced, 0 to 1.
-func NewTracer(w io.Writer, sample float64, instance ids.Instance) (*Tracer, error) {
-	if w == nil || sample <= 0 {
+func NewTracer(w io.Writer, sampleRatio float64, instance ids.Instance) (*Tracer, error) {
+	if w == nil || sampleRatio <= 0 {
 		return &Tracer{}, nil
 	}
 	exporter, err := stdouttrace.New(stdouttrace.WithWriter(w))
 	if err != nil {
 		return nil, eris.Wrap(err, "create trace exporter")
 	}
-	return newTracer(sdktrace.NewBatchSpanProcessor(exporter), sample, instance), nil
+	return newTracer(sdktrace.NewBatchSpanProcessor(exporter), sampleRatio, instance), nil
 }
 
-func newTracer(p sdktrace.SpanProcessor, sample float64, instance ids.Instance) *Tracer {
+func newTracer(processor sdktrace.SpanProcessor, sampleRatio float64, instance ids.Instance) *Tracer {
 	provider := sdktrace.NewTracerProvider(
-		sdktrace.WithSpanProcessor(p),
+		sdktrace.WithSpanProcessor(processor),
 		sdktrace.WithSampler(sdktrace.AlwaysSample()), // Record has sampled already
 		sdktrace.WithResource(resource.NewSchemaless(attribute.String("service.instance.id", string(instance)))),
 	)
-	below := ^uint64(0)
-	if sample < 1 {
-		below = uint64(sample * float64(1<<63) * 2)
+	threshold := ^uint64(0)
+	if sampleRatio < 1 {
+		threshold = uint64(sampleRatio * float64(1<<63) * 2)
 	}
-	return &Tracer{provider: provider, tracer: provider.Tracer("arbutusdock"), below: below}
+	return &Tracer{provider: provider, tracer: provider.Tracer("arbutusdock"), sampleThreshold: threshold}
 }
 
 // sampleKey and parentKey derive independent values from a request number.
 const (
-	sampleKey = 1
-	parentKey = 2
+	sampleSalt     = 1
+	parentSpanSalt = 2
 )
 
 // Sampled reports whether the hops of a request are traced. The choice depends
 // on the request alone, so that all instances with the same sampling share
 // make the same one.
 func (t *Tracer) Sampled(request uint64) bool {
-	return t.provider != nil && ids.Mix(request, sampleKey) <= t.below
+	return t.provider != nil && ids.Mix(request, sampleSalt) <= t.sampleThreshold
 }
 
 // Record emits the span of one hop. All hops of a request share a trace id, at
@@ -78,13 +78,13 @@
 	if !t.Sampled(h.RequestID) {
 		return
 	}
-	var id trace.TraceID
-	var parent trace.SpanID
-	binary.BigEndian.PutUint64(parent[:], ids.Mix(h.RequestID, parentKey)|1)
-	copy(id[:8], parent[:])
-	binary.BigEndian.PutUint64(id[8:], h.RequestID)
+	var traceID trace.TraceID
+	var parentID trace.SpanID
+	binary.BigEndian.PutUint64(parentID[:], ids.Mix(h.RequestID, parentSpanSalt)|1)
+	copy(traceID[:8], parentID[:])
+	binary.BigEndian.PutUint64(traceID[8:], h.RequestID)
 	ctx := trace.ContextWithSpanContext(context.Background(), trace.NewSpanContext(trace.SpanContextConfig{
-		TraceID: id, SpanID: parent, TraceFlags: trace.FlagsSampled,
+		TraceID: traceID, SpanID: parentID, TraceFlags: trace.FlagsSampled,
 	}))
 	attrs := []attribute.KeyValue{attribute.String("arbutusdock.service", string(h.Service))}
 	if h.Target != "" {
