--- a/cmd/arbutusdock/admin.go
+++ b/cmd/arbutusdock/admin.go
@@ -13,10 +13,11 @@
 
 const (
 	adminTimeout      = 5 * time.Second
-	maxAdminBodyBytes = 64 << 20 // state of an instance with 2,500 members and all its targets
+	maxAdminBodyBytes = 64 << 20 // enough for the state of an instance with 2,500 members and all its targets
 )
 
-// query reads path of the admin interface at address into body.
+// getAdmin sends a GET request for path to the admin interface at address and
+// decodes the JSON response into body.
 func getAdmin(address, path string, values url.Values, body any) error {
 	ctx, cancel := context.WithTimeout(context.Background(), adminTimeout)
 	defer cancel()
@@ -36,7 +37,7 @@
 	}
 	if response.StatusCode != http.StatusOK {
 		var errorBody struct{ Error string }
-		_ = json.Unmarshal(data, &errorBody) // the status alone is reported otherwise
+		_ = json.Unmarshal(data, &errorBody) // without a valid body, only the status is reported
 		return eris.Errorf("admin interface %s: status %d %s", address, response.StatusCode, errorBody.Error)
 	}
 	return eris.Wrapf(json.Unmarshal(data, body), "admin interface %s: decode body", address)
--- a/cmd/arbutusdock/check.go
+++ b/cmd/arbutusdock/check.go
@@ -15,7 +15,7 @@
 	"arbutusdock.example/arbutusdock/internal/settings"
 )
 
-// maxDocument is the largest value that the platform holds, in bytes.
+// maxDocumentBytes is the size limit of a document on the platform.
 const maxDocumentBytes = 1 << 20
 
 type checkCommand struct {
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// check returns the faults of one file.
+// check returns the faults in one file, one line each.
 func (c *checkCommand) check(file string) ([]string, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -72,8 +72,9 @@
 	return faultLines(err), nil
 }
 
-// guessKind tells the kind of a file from its top-level keys. A file that is
-// not valid TOML has the same syntax faults as any kind.
+// detectKind returns the kind of a file, based on its top-level keys. For a file
+// that is not valid TOML the result is irrelevant: every parser reports the same
+// syntax error.
 func detectKind(data []byte) string {
 	var topLevel map[string]any
 	_ = toml.Unmarshal(data, &topLevel)
@@ -86,7 +87,7 @@
 	return "profile"
 }
 
-// faultLines returns one line for each fault in err.
+// faultLines formats err as one line for each fault that it contains.
 func faultLines(err error) []string {
 	var (
 		faults      settings.Faults
--- a/cmd/arbutusdock/dryrun.go
+++ b/cmd/arbutusdock/dryrun.go
@@ -29,7 +29,8 @@
 	JSON     bool     `arg:"--json" help:"print JSON"`
 }
 
-// allocation is one partner's row of the comparison, in slots.
+// allocation is the comparison for one partner. Demand, Present, New and Change
+// are in slots.
 type allocation struct {
 	Partner                      ids.Partner
 	PresentWeight, NewWeight     uint32
@@ -72,7 +73,8 @@
 	return p, eris.Wrapf(err, "dryrun: %s", file)
 }
 
-// measure returns the demand and the capacity in slots.
+// demandAndCapacity returns the demand of each partner and the total capacity,
+// in slots, from the instances in Admin and the command line.
 func (c *dryRunCommand) demandAndCapacity() (map[ids.Partner]float64, float64, error) {
 	if len(c.Admin) > 0 && c.Service == "" {
 		return nil, 0, eris.New("dryrun: --admin needs --service")
@@ -112,9 +114,9 @@
 	return demand, capacity, nil
 }
 
-// compare divides the capacity by weighted max-min fairness under both
-// profiles. A partner that only one profile names has weight 0 in the other:
-// its callers then count as callers of no partner, which have weight 1.
+// compareAllocations divides the capacity by weighted max-min fairness under both
+// profiles. A partner that only one profile defines has weight 0 in the other,
+// where its callers count as callers without a partner, which have weight 1.
 func compareAllocations(present, proposed config.Profile, demand map[ids.Partner]float64, capacity float64) []allocation {
 	presentWeights, newWeights := weights(present, demand), weights(proposed, demand)
 	presentShares := share.MaxMin(capacity, demand, presentWeights)
--- a/cmd/arbutusdock/flows.go
+++ b/cmd/arbutusdock/flows.go
@@ -12,7 +12,7 @@
 	"arbutusdock.example/arbutusdock/internal/passthrough"
 )
 
-// showFlows prints the state of pass-through instances.
+// showFlows prints the state of the pass-through instances in Admin.
 func (c *showCommand) showFlows(out io.Writer) error {
 	states := make([]forwarder.State, len(c.Admin))
 	for i, address := range c.Admin {
@@ -48,7 +48,8 @@
 	})
 }
 
-// explainFlow prints where a packet of a pass-through flow would go.
+// explainFlow prints to which target a packet of a pass-through flow would be
+// forwarded, and why.
 func (c *explainCommand) explainFlow(out io.Writer) error {
 	values := url.Values{"caller": {c.Caller}, "to": {c.To}, "cookie": {strconv.FormatUint(uint64(c.Cookie), 10)}}
 	var explanation passthrough.Explanation
--- a/cmd/arbutusdock/flows_test.go
+++ b/cmd/arbutusdock/flows_test.go
@@ -16,8 +16,8 @@
 var flowTargets = []passthrough.TargetState{{Name: "i-7f", Service: "counter", DataCentre: "a", Address: "192.0.2.1:80", Cookie: 127,
 	Lifecycle: "draining", Suspected: true, RetryIn: 1500e6, Busy: 3, Flows: 41, Load: 2.5}}
 
-// Guards against a state or an explanation of a pass-through instance that is
-// shown incompletely, and against a query that asks for another flow.
+// Guards against incomplete output for the state or an explanation of a
+// pass-through instance, and against a query that identifies the wrong flow.
 func TestFlows(t *testing.T) {
 	var receivedQuery string
 	mux := http.NewServeMux()
--- a/cmd/arbutusdock/main.go
+++ b/cmd/arbutusdock/main.go
@@ -1,7 +1,7 @@
-// Command arbutusdock is the operators' tool. It checks documents and settings,
-// shows what instances believe, explains where a request would go, compares a
-// new split with the present one and creates key material. It publishes
-// nothing.
+// Command arbutusdock is the command line tool for operators. It validates
+// documents and settings, shows the state of instances, explains where a request
+// would be sent, compares a new division of capacity between partners with the
+// present one and creates key files. It does not publish documents.
 //
 // Exit codes:
 //
@@ -25,7 +25,7 @@
 	exitUsage
 )
 
-// errReported tells that the faults have been printed already.
+// errReported is returned when all faults have already been printed.
 var errReported = errors.New("faults reported")
 
 type arguments struct {
@@ -44,7 +44,7 @@
 	return "Exit codes: 0 success, 1 faults found or failure, 2 wrong usage."
 }
 
-// command is a subcommand.
+// command is implemented by each subcommand.
 type command interface{ run(out io.Writer) error }
 
 func (a *arguments) command() command {
--- a/cmd/arbutusdock/main_test.go
+++ b/cmd/arbutusdock/main_test.go
@@ -27,7 +27,7 @@
 	return code, stdout.String(), stderr.String()
 }
 
-// Guards against exit codes and usage that scripts rely on.
+// Guards against changes to exit codes and usage texts that scripts rely on.
 func TestUsage(t *testing.T) {
 	for _, test := range []struct {
 		args []string
@@ -47,8 +47,8 @@
 	}
 }
 
-// Guards against faults that are not printed with file and line, or that do
-// not fail the command.
+// Guards against faults that are printed without file and line, or that do not
+// make the command fail.
 func TestCheck(t *testing.T) {
 	const testdata = "../../internal/settings/testdata/"
 	code, out, _ := runTool("check", testdata+"bad/many.toml", testdata+"good/full.toml")
@@ -66,7 +66,7 @@
 	assert.Equal(t, code, exitSuccess)
 }
 
-// Guards against key files that the daemon cannot use.
+// Guards against generated key files that the daemon cannot load.
 func TestKeys(t *testing.T) {
 	dir := t.TempDir()
 	for _, args := range [][]string{{"keys", "ca", "--dir", dir}, {"keys", "instance", "--dir", dir, "a1", "a2"}, {"keys", "admission", "--dir", dir, "--id", "7"}} {
@@ -93,7 +93,7 @@
 	assert.NilError(t, err)
 }
 
-// Guards against a state that is shown incompletely.
+// Guards against output that omits parts of an instance's state.
 func TestShow(t *testing.T) {
 	state := daemon.State{
 		Snapshot: core.Snapshot{Instance: "a1", DataCentre: "a", Lifecycle: "serving", Revision: 9,
@@ -117,8 +117,9 @@
 	assert.DeepEqual(t, got, []daemon.State{state})
 }
 
-// Guards against a comparison that differs from weighted max-min: the unused
-// part of one partner goes to the others in proportion to their weights.
+// Guards against a comparison that differs from weighted max-min fairness: the
+// share that a partner does not use goes to the others in proportion to their
+// weights.
 func TestCompare(t *testing.T) {
 	profile := func(north, south uint32) config.Profile {
 		return config.Profile{Partners: []config.Partner{{Name: "north", Weight: north}, {Name: "south", Weight: south}}}
--- a/cmd/arbutusdock/show.go
+++ b/cmd/arbutusdock/show.go
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// table prints rows under a header and a title.
+// printTable prints a title, a header and the rows as an aligned table.
 func printTable(out io.Writer, title, header string, rows func(row func(format string, args ...any))) error {
 	_, _ = fmt.Fprintf(out, "\n%s\n", title)
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
@@ -86,7 +86,8 @@
 	return fmt.Sprint("unknown ", uint8(l))
 }
 
-// started tells the start of an incarnation, which is its time in nanoseconds.
+// startTime formats the start time of an instance. Its incarnation number is the
+// start time as a Unix time in nanoseconds.
 func startTime(i ids.Incarnation) string { return time.Unix(0, int64(i)).UTC().Format(time.RFC3339) }
 
 func showServices(out io.Writer, services []core.ServiceState) error {
--- a/cmd/arbutusdockd/main.go
+++ b/cmd/arbutusdockd/main.go
@@ -1,14 +1,15 @@
-// Command arbutusdockd runs one entry instance of the load balancer.
+// Command arbutusdockd runs one instance of the load balancer.
 //
 // Exit codes:
 //
 //	0  graceful shutdown complete
 //	1  failure at run time, such as an address that is in use
-//	2  wrong usage, or settings or key files at fault
+//	2  wrong usage, or invalid settings or key files
 //	3  terminated by a second signal during the graceful shutdown
 //
-// SIGTERM or SIGINT starts the graceful shutdown; a second one ends the
-// process at once. SIGHUP reads the settings again; the log level takes effect.
+// SIGTERM or SIGINT starts the graceful shutdown; a second one ends the process
+// at once. SIGHUP reloads the settings file, of which only the log level takes
+// effect without a restart.
 package main
 
 import (
@@ -48,7 +49,8 @@
 func main() { os.Exit(run()) }
 
 func run() int {
-	// Without a receiver the signal would end the process while it starts.
+	// Registered before anything else: until then a SIGHUP would terminate the
+	// process.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	var a arguments
@@ -84,14 +86,15 @@
 	return serve(d, hangups)
 }
 
-// instance is an instance of either kind of traffic.
+// instance is a CoAP instance (daemon.Daemon) or a pass-through instance
+// (forwarder.Forwarder).
 type instance interface {
 	Run(context.Context) error
-	Stop()   // begins the graceful shutdown
-	Reload() // reads the settings file again
+	Stop()   // starts the graceful shutdown
+	Reload() // reloads the settings file
 }
 
-// serve runs i until it has stopped.
+// serve runs i until it has stopped, handles signals and returns the exit code.
 func serve(i instance, hangups <-chan os.Signal) int {
 	go func() {
 		for range hangups {
@@ -112,7 +115,8 @@
 	return exitSuccess
 }
 
-// report prints err, one line for each fault of a settings file.
+// printError prints err to standard error, settings faults one per line, and
+// returns code.
 func printError(code int, err error) int {
 	var faults settings.Faults
 	if errors.As(err, &faults) {
--- a/cmd/arbutusdockd/main_test.go
+++ b/cmd/arbutusdockd/main_test.go
@@ -18,8 +18,8 @@
 	"arbutusdock.example/arbutusdock/internal/keys"
 )
 
-// TestMain makes the test binary act as the daemon when it is started again
-// with the settings file in this variable.
+// TestMain lets the tests start their own binary as the daemon: it runs the
+// daemon if ARBUTUSDOCKD_TEST_SETTINGS names a settings file.
 func TestMain(m *testing.M) {
 	if file := os.Getenv("ARBUTUSDOCKD_TEST_SETTINGS"); file != "" {
 		os.Args = []string{"arbutusdockd", file}
@@ -31,8 +31,8 @@
 type process struct {
 	t      *testing.T
 	cmd    *exec.Cmd
-	stderr bytes.Buffer // standard error; read after the end only
-	stdout bytes.Buffer // standard output; read after the end only
+	stderr bytes.Buffer // read only after the process has exited
+	stdout bytes.Buffer // read only after the process has exited
 }
 
 func startProcess(t *testing.T, settingsFile string) *process {
@@ -46,16 +46,18 @@
 
 func (p *process) signal(s syscall.Signal) { assert.NilError(p.t, p.cmd.Process.Signal(s)) }
 
-// exit waits for the end and returns the exit code.
+// waitExitCode waits for the process to exit, kills it after 20 s, and returns
+// its exit code.
 func (p *process) waitExitCode() int {
 	p.t.Helper()
 	timer := time.AfterFunc(20*time.Second, func() { _ = p.cmd.Process.Kill() })
 	defer timer.Stop()
-	_ = p.cmd.Wait() // the code tells the result
+	_ = p.cmd.Wait() // the exit code holds the result
 	return p.cmd.ProcessState.ExitCode()
 }
 
-// write creates a settings file whose platform is unreachable.
+// writeSettings creates a settings file, with its key files, whose platform
+// address is unreachable.
 func writeSettings(t *testing.T, admin string) string {
 	dir := t.TempDir()
 	ca, err := keys.CreateCA(dir, "fleet", time.Hour)
@@ -75,8 +77,8 @@
 	return file
 }
 
-// ready waits until the core goroutine answers. The listener alone is open
-// before the core runs.
+// waitUntilReady waits until the core goroutine answers a state request. An open
+// listener alone is not enough: it is opened before the core runs.
 func waitUntilReady(t *testing.T, admin string) {
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		if response, err := http.Get("http://" + admin + "/v1/state"); err == nil {
@@ -96,8 +98,8 @@
 	return l.Addr().String()
 }
 
-// Guards against a graceful shutdown that does not end, and exit codes that
-// differ from the documented ones.
+// Guards against a graceful shutdown that does not end, and against exit codes
+// that differ from the documented ones.
 func TestSignals(t *testing.T) {
 	admin := freeAddress(t)
 	p := startProcess(t, writeSettings(t, admin))
@@ -116,9 +118,9 @@
 	assert.Assert(t, time.Since(start) < 2*time.Second)
 }
 
-// Guards against SIGHUP ending an instance for CoAP: found by seed 1 of the soak
-// in e2e, where a third of a data centre's requests went to an instance that had
-// ended and was still listed.
+// Guards against SIGHUP terminating a CoAP instance. Seed 1 of the soak test in
+// e2e found this: a third of a data centre's requests went to an instance that
+// had exited but was still in the instance list.
 func TestSurvivesHangup(t *testing.T) {
 	admin := freeAddress(t)
 	p := startProcess(t, writeSettings(t, admin))
@@ -130,8 +132,8 @@
 	assert.Equal(t, strings.Count(p.stderr.String(), "msg=reloaded"), 1, p.stderr.String())
 }
 
-// Guards against a process that serves on after a pause with what it knew
-// before.
+// Guards against a process that is suspended (SIGSTOP) and, once resumed,
+// continues to serve with outdated state.
 func TestPause(t *testing.T) {
 	admin := freeAddress(t)
 	p := startProcess(t, writeSettings(t, admin))
@@ -145,7 +147,7 @@
 	assert.Assert(t, strings.Contains(p.stderr.String(), "msg=resumed"), p.stderr.String())
 }
 
-// Guards against wrong exit codes and messages for faults at the start.
+// Guards against wrong exit codes and messages for errors at startup.
 func TestFaultsAtStart(t *testing.T) {
 	p := startProcess(t, "missing.toml")
 	assert.Equal(t, p.waitExitCode(), exitUsage)
--- a/cmd/arbutusdockd/passthrough_test.go
+++ b/cmd/arbutusdockd/passthrough_test.go
@@ -12,8 +12,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// writePassthrough creates the settings of a pass-through instance whose
-// platform is unreachable.
+// writePassthrough creates a settings file of a pass-through instance whose
+// platform address is unreachable.
 func writePassthrough(t *testing.T) string {
 	file := filepath.Join(t.TempDir(), "settings.toml")
 	assert.NilError(t, os.WriteFile(file, []byte(`[instance]
@@ -28,8 +28,8 @@
 	return file
 }
 
-// Guards against SIGHUP ending the process: found by the users' bench, where
-// settings files change in the middle of the day.
+// Guards against SIGHUP terminating the process. The users' test bench found
+// this: there, settings files change during operation.
 func TestPassthroughSurvivesHangup(t *testing.T) {
 	file := writePassthrough(t)
 	p := startProcess(t, file)
@@ -43,7 +43,7 @@
 	assert.Equal(t, strings.Count(output, "msg=stopped"), 1, output)
 }
 
-// Guards against settings with faults that are accepted or not named.
+// Guards against invalid settings that are accepted or not reported.
 func TestPassthroughSettingsFault(t *testing.T) {
 	file := writePassthrough(t)
 	data, err := os.ReadFile(file)
--- a/internal/documents/documents.go
+++ b/internal/documents/documents.go
@@ -1,5 +1,5 @@
-// Package documents is the client of the configuration service and
-// instance list (HTTP with JSON, section 3.7 of docs/design.md). It only reads.
+// Package documents is a read-only client of the platform's configuration
+// documents and instance list (JSON over HTTP, section 3.7 of docs/design.md).
 package documents
 
 import (
@@ -20,18 +20,19 @@
 
 // Limits of the client.
 const (
-	// ReadTimeout bounds a call without a wait. The platform answers in
-	// milliseconds when it is up.
+	// ReadTimeout is the timeout of a read that does not wait for changes. A
+	// platform that is up answers within milliseconds.
 	ReadTimeout = 2 * time.Second
-	// WatchWait is the time for which the platform holds a watch, and WatchMargin
-	// the time allowed beyond it. A connection that has gone silent is noticed
-	// after their sum and replaced, within the 5 s in which a publication is to
-	// take effect. Two watchers in each of ten data centres cause 7 reads a
-	// second of the platform's 2,000.
+	// WatchWait is the time for which the platform delays its response to a
+	// watch (long poll) when there are no changes. WatchMargin is added to it
+	// for the client's timeout. A connection on which nothing arrives any more is
+	// thus detected and replaced after 4 s, within the 5 s in which a published
+	// change must take effect. Two watching instances in each of ten data
+	// centres cause 7 reads/s; the platform supports 2,000 reads/s.
 	WatchWait   = 3 * time.Second
 	WatchMargin = 1 * time.Second
-	// MaxBody bounds a response. A page holds at most 1 MB of values; JSON
-	// escaping can make them up to six times as long.
+	// MaxBodyBytes is the maximum size of a response body. A page contains at
+	// most 1 MB of values, which JSON escaping can make up to six times as long.
 	MaxBodyBytes = 6<<20 + 256<<10
 
 	maxDocuments = 1 << 16
@@ -40,20 +41,21 @@
 	minBackoff   = 100 * time.Millisecond
 )
 
-// Errors of a response that cannot be used.
+// Errors that reject a response of the platform.
 var (
 	ErrTooLarge = httpget.ErrTooLarge
 	ErrOrder    = eris.New("platform: documents out of order of revision")
 )
 
-// Client reads from one platform address.
+// Client reads from the platform at one address.
 type Client struct {
 	http   *httpget.Client
 	random func() float64
 }
 
 // New returns a client for the platform at base, an http or https URL. random
-// yields numbers from 0 to 1 for the jitter of retries; nil takes a default.
+// returns numbers from 0 to 1 for the jitter of retries; nil selects
+// rand.Float64.
 func New(base string, random func() float64) *Client {
 	if random == nil {
 		random = rand.Float64
@@ -61,13 +63,13 @@
 	return &Client{http: httpget.New(base, MaxBodyBytes), random: random}
 }
 
-// Page is one page of publications.
+// Page is one page of published documents.
 type Page struct {
 	Documents []core.Publication
-	// UpToRevision is the revision up to which the page is complete. It is lower than
-	// the revision asked for when the platform is stale.
+	// UpToRevision is the revision up to which the page is complete. It is lower
+	// than the requested revision if the platform returned stale data.
 	UpToRevision ids.Revision
-	More         bool // further documents follow after UpToRevision
+	More         bool // there are more documents after UpToRevision
 }
 
 type documentsBody struct {
@@ -80,10 +82,10 @@
 	} `json:"documents"`
 }
 
-// Documents reads the publications after a revision. With watch it waits up
-// to WatchWait for one; a page without documents then means that there was
-// none. Failed calls are repeated with jittered back-off; the error is that of
-// the last attempt.
+// Documents reads the documents published after a revision. With watch it waits
+// up to WatchWait for a new document and returns a page without documents if
+// none was published. Failed calls are retried with exponential backoff and
+// jitter; the error is that of the last attempt.
 func (c *Client) Documents(ctx context.Context, after ids.Revision, watch bool) (Page, error) {
 	query := url.Values{"after": {strconv.FormatUint(uint64(after), 10)}}
 	timeout := ReadTimeout
@@ -116,7 +118,8 @@
 		page.Documents = append(page.Documents, p)
 	}
 	if b.More && len(page.Documents) > 0 {
-		// What follows is unknown, so the state is complete only up to here.
+		// The documents after the last one are unknown, so the page is complete
+		// only up to that one.
 		page.UpToRevision = last
 	}
 	return page, nil
@@ -131,8 +134,8 @@
 	} `json:"instances"`
 }
 
-// Instances reads the list of live and leaving instances. Entries without a
-// name or a valid address are left out; invalid counts them.
+// Instances reads the list of live and leaving instances. Entries without an
+// ID, a data centre or a valid address are omitted; invalid is their number.
 func (c *Client) Instances(ctx context.Context) (list []core.ListedInstance, invalid int, err error) {
 	var body instancesBody
 	if err := c.get(ctx, "/v1/instances", ReadTimeout, &body); err != nil {
@@ -151,7 +154,8 @@
 	return list, invalid, nil
 }
 
-// get repeats one call until it succeeds, at most attempts times.
+// get sends a GET request and retries it until it succeeds, up to maxAttempts
+// attempts in all.
 func (c *Client) get(ctx context.Context, path string, timeout time.Duration, body any) error {
 	var err error
 	for attempt := range maxAttempts {
@@ -165,8 +169,9 @@
 	return err
 }
 
-// pause waits between half of d and d, so that instances that failed together
-// do not retry together. It reports false when ctx has ended.
+// backOff waits for a random time between d/2 and d, so that instances whose
+// calls failed at the same time do not retry at the same time. It returns false
+// if ctx ends first.
 func (c *Client) backOff(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d/2 + time.Duration(c.random()*float64(d/2)))
 	defer timer.Stop()
--- a/internal/documents/documents_test.go
+++ b/internal/documents/documents_test.go
@@ -22,9 +22,10 @@
 	return New(s.URL, func() float64 { return 0 })
 }
 
-// Guards against a request or a page that differs from section 3.7, a deleted
-// document that arrives as an empty one, and documents that are skipped because
-// the revision of an incomplete page is taken for complete.
+// Guards against a request or a page that differs from section 3.7, against a
+// deleted document that is decoded as an empty one, and against skipping
+// documents because the revision in an incomplete page is used as the revision
+// up to which the page is complete.
 func TestDocuments(t *testing.T) {
 	var query string
 	c := newTestClient(t, func(w http.ResponseWriter, r *http.Request) {
@@ -38,7 +39,8 @@
 		{Key: "service/x", Revision: 4, Value: []byte("a")}, {Key: "profile/y", Revision: 5}}})
 }
 
-// Guards against a stale platform that looks up to date.
+// Guards against losing the lower revision that shows that the platform's data
+// are stale.
 func TestStale(t *testing.T) {
 	c := newTestClient(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"upto":2,"documents":[]}`) })
 	page, err := c.Documents(context.Background(), 3, false)
@@ -46,7 +48,7 @@
 	assert.Equal(t, page.UpToRevision, ids.Revision(2))
 }
 
-// Guards against a call that gives up at the first failure.
+// Guards against calls that are not retried after a failure.
 func TestRetries(t *testing.T) {
 	calls := 0
 	c := newTestClient(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -61,7 +63,8 @@
 	assert.Equal(t, calls, maxAttempts)
 }
 
-// Guards against bad responses that are accepted or read without limit.
+// Guards against invalid responses being accepted, and against response bodies
+// of any size being read.
 func TestBadResponses(t *testing.T) {
 	for name, body := range map[string]string{
 		"no JSON":       `upto`,
@@ -77,7 +80,8 @@
 	}
 }
 
-// Guards against a platform that accepts connections but never answers.
+// Guards against calls that do not end when the platform accepts connections but
+// never responds.
 func TestSilentPlatform(t *testing.T) {
 	release := make(chan struct{})
 	c := newTestClient(t, func(http.ResponseWriter, *http.Request) { <-release })
@@ -88,7 +92,7 @@
 	assert.Assert(t, errors.Is(err, context.DeadlineExceeded), "%v", err)
 }
 
-// Guards against one bad entry that hides the rest of the list.
+// Guards against one invalid entry causing the rest of the list to be rejected.
 func TestInstances(t *testing.T) {
 	c := newTestClient(t, func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, `{"instances":[{"id":"a","data_centre":"x","peer_addr":"127.0.0.1:1","caller_ip":"127.0.0.1","leaving":true},{"id":"b","data_centre":"x","peer_addr":"nowhere"}]}`)
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -1,5 +1,5 @@
-// Package keys creates and reads the key material of a fleet: the fleet CA,
-// instance certificates and admission keys, each in files.
+// Package keys creates and reads the key files of a fleet: the fleet's
+// certificate authority (CA), instance certificates and admission keys.
 package keys
 
 import (
@@ -25,22 +25,23 @@
 const (
 	// AdmissionKeyBytes is the length of an admission key (HMAC-SHA-256).
 	AdmissionKeyBytes = 32
-	// clockSkew is allowed between the machine that issues a certificate and
-	// those that verify it.
+	// clockSkew is the clock difference allowed between the machine that issues
+	// a certificate and those that verify it.
 	clockSkew = 5 * time.Minute
 
 	certificatePEMType = "CERTIFICATE"
 	keyPEMType         = "PRIVATE KEY"
-	maxKeyFileBytes    = 4096 // bytes
+	maxKeyFileBytes    = 4096
 )
 
-// CA is a fleet CA.
+// CA is the certificate authority of a fleet.
 type CA struct {
 	certificate *x509.Certificate
 	key         ed25519.PrivateKey
 }
 
-// CreateCA writes ca.crt and ca.key to dir. It refuses to replace files.
+// CreateCA creates a CA with the common name name and writes ca.crt and ca.key
+// to dir. It fails if either file exists.
 func CreateCA(dir, name string, validity time.Duration) (*CA, error) {
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
@@ -88,8 +89,8 @@
 	return &CA{certificate: certificate, key: private}, nil
 }
 
-// Issue writes the certificate and key of an instance to dir, as <id>.crt and
-// <id>.key.
+// Issue creates the certificate and key of an instance and writes them to dir
+// as <id>.crt and <id>.key. It fails if either file exists.
 func (ca *CA) Issue(dir string, id ids.Instance, validity time.Duration) error {
 	if !ids.ValidName(string(id)) {
 		return eris.Errorf("issue certificate: %q must be %s", id, ids.NameRule)
@@ -115,7 +116,7 @@
 func newTemplate(name string, validity time.Duration) (*x509.Certificate, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 127))
 	if err != nil {
-		return nil, eris.Wrap(err, "draw serial number")
+		return nil, eris.Wrap(err, "generate serial number")
 	}
 	now := time.Now()
 	return &x509.Certificate{
@@ -137,8 +138,8 @@
 	return writeNewFile(filepath.Join(dir, name+".crt"), pem.EncodeToMemory(&pem.Block{Type: certificatePEMType, Bytes: der}), 0o644)
 }
 
-// create writes a new file. It never replaces one: a lost CA or admission key
-// invalidates what was issued under it.
+// writeNewFile creates a file and fails if it exists: replacing a CA or
+// admission key would invalidate all certificates or tokens issued with it.
 func writeNewFile(path string, data []byte, mode os.FileMode) error {
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, mode)
 	if err != nil {
@@ -160,17 +161,18 @@
 	return block.Bytes, nil
 }
 
-// CreateAdmissionKey writes a new admission key to dir as admission-<id>.key,
-// 64 hexadecimal digits.
+// CreateAdmissionKey writes a new random admission key to dir as
+// admission-<id>.key, encoded as 64 hexadecimal digits. It fails if the file
+// exists.
 func CreateAdmissionKey(dir string, id uint8) error {
 	key := make([]byte, AdmissionKeyBytes)
 	if _, err := rand.Read(key); err != nil {
-		return eris.Wrap(err, "draw admission key")
+		return eris.Wrap(err, "generate admission key")
 	}
 	return writeNewFile(filepath.Join(dir, fmt.Sprintf("admission-%d.key", id)), []byte(hex.EncodeToString(key)+"\n"), 0o600)
 }
 
-// LoadAdmissionKey reads an admission key file.
+// LoadAdmissionKey reads and decodes an admission key file.
 func LoadAdmissionKey(path string) ([]byte, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a second run that replaces a CA, a certificate or a key.
+// Guards against an existing CA, certificate or key being overwritten.
 func TestNeverReplaces(t *testing.T) {
 	dir := t.TempDir()
 	ca, err := CreateCA(dir, "fleet", time.Hour)
@@ -22,8 +22,8 @@
 	assert.ErrorIs(t, CreateAdmissionKey(dir, 1), os.ErrExist)
 }
 
-// Guards against key files that other users can read, and names that leave
-// the directory.
+// Guards against key files that other users can read, and against instance names
+// that place files outside the directory.
 func TestFiles(t *testing.T) {
 	dir := t.TempDir()
 	ca, err := CreateCA(dir, "fleet", time.Hour)
@@ -35,7 +35,8 @@
 	assert.Equal(t, info.Mode().Perm(), os.FileMode(0o600))
 }
 
-// Guards against short, long or garbled admission keys that are used.
+// Guards against admission keys being accepted that are too short, too long or
+// not hexadecimal.
 func TestLoadAdmissionKey(t *testing.T) {
 	dir := t.TempDir()
 	assert.NilError(t, CreateAdmissionKey(dir, 7))
--- a/internal/reload/reload.go
+++ b/internal/reload/reload.go
@@ -1,6 +1,6 @@
-// Package reload reads the settings file of a running instance again: when
-// asked to, and when the file has changed. The log level takes effect at once;
-// of all else it reports that a restart is needed.
+// Package reload reloads the settings file of a running instance, on request or
+// when the file has changed. A new log level takes effect at once; for any other
+// change it logs that a restart is needed.
 package reload
 
 import (
@@ -13,35 +13,36 @@
 	"arbutusdock.example/arbutusdock/internal/settings"
 )
 
-// settingsPoll is the interval at which the settings file is checked for a
-// change that no signal has announced. One look at its time of change costs a
-// few microseconds.
+// pollInterval is the interval at which the modification time of the settings
+// file is checked, to detect changes without a signal. One check takes a few
+// microseconds.
 const pollInterval = 5 * time.Second
 
 // Watcher watches the settings file of one instance.
 type Watcher struct {
-	running  settings.Settings // with which the instance was started
+	running  settings.Settings // settings with which the instance was started
 	level    *slog.LevelVar
 	log      *slog.Logger
 	requests chan struct{}
 }
 
 // New returns a Watcher of the file from which the running settings were read.
-// It changes level, and logs to log.
+// The Watcher sets level on a reload and logs to log.
 func New(running settings.Settings, level *slog.LevelVar, log *slog.Logger) *Watcher {
 	return &Watcher{running: running, level: level, log: log, requests: make(chan struct{}, 1)}
 }
 
-// Reload asks for the settings file to be read again. It does not wait.
+// Reload requests a reload of the settings file and returns without waiting for
+// it.
 func (w *Watcher) Reload() {
 	select {
 	case w.requests <- struct{}{}:
-	default: // one is already asked for
+	default: // a reload is already pending
 	}
 }
 
-// Run reads the settings again when asked to, or when the file has changed,
-// until ctx ends.
+// Run reloads the settings on request and when the file has changed, until ctx
+// ends.
 func (w *Watcher) Run(ctx context.Context) {
 	if w.running.File == "" {
 		return
@@ -65,8 +66,8 @@
 	}
 }
 
-// modified returns the time of the last change of a file, zero when it cannot
-// be read; the file may be absent while it is replaced.
+// modTime returns the modification time of a file, or the zero time if it cannot
+// be read; the file can be absent for a moment while it is replaced.
 func modTime(file string) time.Time {
 	info, err := os.Stat(file)
 	if err != nil {
@@ -75,8 +76,8 @@
 	return info.ModTime()
 }
 
-// apply puts the log level of the file in force and reports whether anything
-// else differs from the start. A file with faults changes nothing.
+// apply loads the file, sets the log level from it and logs whether any other
+// setting differs from those at startup. A file with faults changes nothing.
 func (w *Watcher) apply(cause string) {
 	loaded, err := settings.Load(w.running.File)
 	if err != nil {
@@ -84,7 +85,7 @@
 		return
 	}
 	if (loaded.Passthrough == nil) != (w.running.Passthrough == nil) {
-		w.log.Error("reload-refused", "cause", cause, "error", "the table [passthrough] has come or gone")
+		w.log.Error("reload-refused", "cause", cause, "error", "the table [passthrough] was added or removed")
 		return
 	}
 	w.level.Set(logSettings(&loaded).Level)
@@ -92,7 +93,7 @@
 	w.log.Info("reloaded", "cause", cause, "log_level", w.level.Level(), "restart_needed", !reflect.DeepEqual(loaded, w.running))
 }
 
-// logs returns the log settings of either kind of instance.
+// logSettings returns the log settings of a CoAP or a pass-through instance.
 func logSettings(s *settings.Settings) *settings.Log {
 	if s.Passthrough != nil {
 		return &s.Passthrough.Log
--- a/internal/reload/reload_test.go
+++ b/internal/reload/reload_test.go
@@ -18,8 +18,8 @@
 	"arbutusdock.example/arbutusdock/internal/telemetry"
 )
 
-// Guards against an instance for CoAP whose settings cannot be read again, and
-// against a file that would change the kind of its traffic.
+// Guards against a CoAP instance whose settings cannot be reloaded, and against
+// accepting a file that would turn it into a pass-through instance.
 func TestReloadCoAP(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "settings.toml")
 	text, err := os.ReadFile("../../docs/examples/arbutusdockd.toml")
@@ -39,9 +39,9 @@
 	assert.Equal(t, level.Level(), slog.LevelDebug)
 }
 
-// Guards against settings that are not read again when the file changes without a
-// signal, against a file with faults that changes anything, and against changes
-// that need a restart and are not reported.
+// Guards against settings that are not reloaded when the file changes without a
+// signal, against an invalid file that changes the log level, and against
+// changes that need a restart and are not reported.
 func TestReload(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "settings.toml")
 	write := func(level, extra string) {
--- a/internal/settings/passthrough.go
+++ b/internal/settings/passthrough.go
@@ -7,34 +7,35 @@
 	"arbutusdock.example/arbutusdock/internal/ids"
 )
 
-// Passthrough holds the settings of an instance that forwards opaque flows. The
-// table [passthrough] in a settings file selects this kind of traffic.
+// Passthrough holds the settings of a pass-through instance, which forwards
+// flows without parsing their payload. A settings file with a [passthrough]
+// table configures such an instance.
 type Passthrough struct {
 	Instance   ids.Instance
 	DataCentre ids.DataCentre
 
-	Listen   netip.AddrPort // datagrams of callers
-	Ready    netip.AddrPort // readiness probe of the fabric
-	Metrics  netip.AddrPort // metrics and admin interface; invalid for none
-	Platform netip.AddrPort // store that is read
-	Control  netip.AddrPort // interface between instances; invalid for none
-	// Advertise is the address under which other instances reach Control.
+	Listen   netip.AddrPort // UDP address that receives callers' datagrams
+	Ready    netip.AddrPort // TCP address that the network fabric probes for readiness
+	Metrics  netip.AddrPort // HTTP address of metrics and the admin interface; the zero value disables both
+	Platform netip.AddrPort // address of the platform's store, which is only read
+	Control  netip.AddrPort // address of the interface between instances; the zero value disables it
+	// Advertise is the address at which other instances reach Control.
 	Advertise netip.AddrPort
-	Seeds     string // control addresses of instances, joined by commas
+	Seeds     string // control addresses of other instances, separated by commas
 
-	ApplyWithin       time.Duration // bound for a publication to be in force
-	GracePeriod       time.Duration // from SIGTERM to the forced end
-	FlowLifetime      time.Duration // age after which a flow may be forgotten
+	ApplyWithin       time.Duration // time within which a published configuration change must be in effect
+	GracePeriod       time.Duration // time from SIGTERM until the process exits even with open flows
+	FlowLifetime      time.Duration // age after which the state of a flow may be removed
 	HeartbeatInterval time.Duration // interval at which backend servers renew their records
-	MemoryBytes       int64         // limit of the process; 0 for none
-	// Regions holds the region of each data centre; those that are not in it count
-	// as near.
+	MemoryBytes       int64         // memory limit of the process; 0 for none
+	// Regions maps each data centre to its region. A data centre that is not
+	// listed counts as being in the same region.
 	Regions map[string]string
 	Log     Log
 	Trace   Trace
 }
 
-// parsePassthrough reads the tables of a pass-through instance.
+// parsePassthrough reads the settings of a pass-through instance.
 func parsePassthrough(r *reader) *Passthrough {
 	p := &Passthrough{
 		Instance:          ids.Instance(r.requiredName("instance.id")),
--- a/internal/settings/reader.go
+++ b/internal/settings/reader.go
@@ -16,13 +16,13 @@
 	"arbutusdock.example/arbutusdock/internal/ids"
 )
 
-// required is the default value of an integer key that has none.
+// noDefault, given as the default of an integer key, makes the key required.
 const noDefault = -1
 
-// Fault is one fault of a settings file.
+// Fault is one error in a settings file.
 type Fault struct {
-	Line    int    // 0 when the fault is a missing key
-	Key     string // dotted key, with the index of a repeated table
+	Line    int    // 0 when neither the key nor its table is in the file
+	Key     string // dotted key; tables in an array have an index, as in seed[0].id
 	Message string
 }
 
@@ -33,7 +33,7 @@
 	return fmt.Sprintf("line %d: key %s: %s", f.Line, f.Key, f.Message)
 }
 
-// Faults is every fault of one settings file, in order of lines.
+// Faults holds all errors in one settings file, ordered by line.
 type Faults []Fault
 
 func (f Faults) Error() string {
@@ -45,11 +45,11 @@
 }
 
 // reader gives typed access to the values of a TOML document and collects the
-// faults. A key that no accessor has asked for is unknown.
+// faults. A key that no accessor has read is reported as unknown.
 type reader struct {
 	values     map[string]any
 	lines      map[string]int
-	tableCount map[string]int // entries of repeated tables
+	tableCount map[string]int // number of tables in each array of tables
 	accessed   map[string]bool
 	faults     Faults
 }
@@ -77,7 +77,7 @@
 	return prefix + "." + key
 }
 
-// flatten records the value of each dotted key.
+// flatten stores the values below prefix under their dotted keys.
 func (r *reader) flatten(prefix string, v any) {
 	switch v := v.(type) {
 	case map[string]any:
@@ -101,7 +101,7 @@
 	}
 }
 
-// index records the line of each dotted key.
+// indexLines records the line number of each dotted key.
 func (r *reader) indexLines(data []byte) {
 	var p unstable.Parser
 	p.Reset(data)
@@ -150,7 +150,8 @@
 	return strings.Join(parts, "."), line
 }
 
-// fault records a fault at key, or at the innermost table that has a line.
+// addFault records a fault of key. Its line is that of the key or, when the key
+// is absent, of the innermost enclosing table that is present.
 func (r *reader) addFault(key, format string, args ...any) {
 	line, prefix := 0, key
 	for prefix != "" && line == 0 {
@@ -165,7 +166,7 @@
 	return ok
 }
 
-// hasTable reports whether the table has a key or a line of its own.
+// hasTable reports whether the file contains the table.
 func (r *reader) hasTable(table string) bool {
 	_, ok := r.lines[table]
 	return ok
@@ -173,7 +174,7 @@
 
 func (r *reader) reportMissing(key string) { r.addFault(key, "missing") }
 
-// need reports key as missing when it is absent, and returns it.
+// requireKey returns key and records a fault when the file does not contain it.
 func (r *reader) requireKey(key string) string {
 	if !r.has(key) {
 		r.reportMissing(key)
@@ -181,7 +182,7 @@
 	return key
 }
 
-// finish reports unknown keys and returns all faults.
+// finish adds a fault for each unknown key and returns all faults, or nil.
 func (r *reader) finish() error {
 	for key := range r.values {
 		if !r.accessed[key] {
@@ -200,7 +201,8 @@
 	return r.faults
 }
 
-// get returns the value of key when it is present and of type T.
+// get returns the value of key if it is present and of type T. expected
+// describes the type in the fault message.
 func get[T any](r *reader, key, expected string) (T, bool) {
 	r.accessed[key] = true
 	var zero T
@@ -215,7 +217,8 @@
 	return t, ok
 }
 
-// tables returns the prefix of each entry of a repeated table.
+// tablePrefixes returns the key prefix of each table in an array of tables,
+// such as seed[0].
 func (r *reader) tablePrefixes(key string) []string {
 	var prefixes []string
 	for i := range r.tableCount[key] {
@@ -262,7 +265,7 @@
 	if !ok {
 		return def
 	}
-	if !(v >= low && v <= high) { // also refuses NaN
+	if !(v >= low && v <= high) { // also rejects NaN
 		r.addFault(key, "is %g, must be a number from %g to %g", v, low, high)
 	}
 	return v
@@ -318,7 +321,7 @@
 	return a
 }
 
-// texts reads a table whose keys are names and whose values are strings.
+// stringTable returns all keys of a table, whose values must be strings.
 func (r *reader) stringTable(table string) map[string]string {
 	out := map[string]string{}
 	for key := range r.values {
@@ -329,7 +332,7 @@
 	return out
 }
 
-// addrPorts reads a list of IP:port and joins it by commas.
+// addrPorts reads a list of IP:port strings and joins them with commas.
 func (r *reader) addrPorts(key string) string {
 	list, _ := get[[]any](r, key, "a list of IP:port")
 	var out []string
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,6 @@
-// Package settings reads the settings file of the daemon (TOML). Every fault
-// of a file is reported at once, with its line, key and allowed range.
+// Package settings parses and validates the settings file of the daemon (TOML).
+// All faults in a file are reported together, each with its line, key and
+// allowed range.
 package settings
 
 import (
@@ -14,18 +15,18 @@
 	"arbutusdock.example/arbutusdock/internal/ids"
 )
 
-// Settings of one instance.
+// Settings holds the settings of one instance.
 type Settings struct {
-	File       string // from which the settings were read
+	File       string // path of the settings file
 	Instance   ids.Instance
 	DataCentre ids.DataCentre
-	RandomSeed *uint64 // fixed seed for tests; nil draws one at start
+	RandomSeed *uint64 // fixed seed for tests; nil selects a random seed at startup
 
-	ServiceIP     netip.Addr     // address of services whose document names none
-	BackendIP     netip.Addr     // source address towards backend servers
-	PeerListen    netip.AddrPort // link listener
-	PeerAdvertise netip.AddrPort // address under which other instances reach the link listener
-	AdminListen   netip.AddrPort // loopback only
+	ServiceIP     netip.Addr     // listen address of services whose document sets none
+	BackendIP     netip.Addr     // source address of datagrams to backend servers
+	PeerListen    netip.AddrPort // listen address for links from other instances
+	PeerAdvertise netip.AddrPort // address at which other instances reach PeerListen
+	AdminListen   netip.AddrPort // listen address of the admin interface; must be a loopback address
 	PlatformURL   string
 	Seeds         []Seed
 	TLS           TLS
@@ -34,63 +35,64 @@
 	Rings         Rings
 	Log           Log
 	Trace         Trace
-	Linger        time.Duration // time for which late datagrams are relayed during a planned stop
+	Linger        time.Duration // time for which late datagrams are still relayed during a planned stop
 	HealthWorkers int           // concurrent health checks
-	HealthTimeout time.Duration // of one health check
+	HealthTimeout time.Duration // timeout of one health check
 
-	// Passthrough is set for an instance that forwards opaque flows; all other
-	// fields but File then have no meaning.
+	// Passthrough is set for a pass-through instance. All other fields except
+	// File are then unused.
 	Passthrough *Passthrough
 }
 
-// Seed is an instance that is asked for the membership at the start.
+// Seed is an instance that is contacted at startup to obtain the member list.
 type Seed struct {
 	ID         ids.Instance
 	DataCentre ids.DataCentre
 	Address    netip.AddrPort
 }
 
-// TLS names the PEM files for mutual TLS between instances.
+// TLS holds the paths of the PEM files for mutual TLS between instances.
 type TLS struct{ CA, Certificate, Key string }
 
-// Admission names the key files of admission tokens. All keys verify; the key
-// with the id Sign signs.
+// Admission configures admission tokens and the store of admitted requests.
+// Tokens are signed with the key whose id is SigningKey; all keys are accepted
+// for verification.
 type Admission struct {
 	SigningKey uint8
 	Keys       []AdmissionKey
-	MaxEntries int // requests remembered for 300 s
-	MaxBytes   int // of their responses
+	MaxEntries int // maximum number of admitted requests stored; each is stored for 300 s
+	MaxBytes   int // maximum total size of their stored responses
 }
 
-// AdmissionKey is one admission key file.
+// AdmissionKey is the id and the file of one admission key.
 type AdmissionKey struct {
 	ID   uint8
 	File string
 }
 
-// Link tunes the links to other instances.
+// Link holds the limits of the links to other instances.
 type Link struct {
-	ControlBytesPerSecond int           // bytes a second that control messages may use
-	StartupBurstBytes     int           // control bytes beyond that rate after the start
-	DataIdleTimeout       time.Duration // a data link without messages for this long is closed
-	QueueLength           int           // messages waiting for one link and lane
+	ControlBytesPerSecond int           // rate limit of control messages
+	StartupBurstBytes     int           // control bytes allowed above that rate after startup
+	DataIdleTimeout       time.Duration // a data link without messages for this time is closed
+	QueueLength           int           // maximum number of messages queued for each link and lane
 }
 
-// Rings holds the capacities of the rings between goroutines, in entries.
+// Rings holds the capacities of the ring buffers between goroutines, in entries.
 type Rings struct{ Caller, Backend, Peer, Control, Write int }
 
-// Log settings.
+// Log holds the log settings.
 type Log struct{ Level slog.Level }
 
-// Trace settings.
+// Trace holds the settings of request tracing.
 type Trace struct {
 	Exporter    string  // none, stdout or stderr
-	SampleRatio float64 // share of requests that are traced, 0 to 1
+	SampleRatio float64 // fraction of requests that are traced, 0 to 1
 }
 
-// Load reads and checks the settings file at path. File names in it are
-// relative to its directory. The error is a Faults value when the content is
-// at fault.
+// Load reads and validates the settings file at path. Relative file names in it
+// are resolved against its directory. The error is a Faults value if the
+// content is invalid.
 func Load(path string) (Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -118,7 +120,8 @@
 	return filepath.Join(dir, file)
 }
 
-// Parse checks the content of a settings file and fills in the defaults.
+// Parse validates the content of a settings file and fills in the defaults.
+// Relative file names in it are left as they are.
 func Parse(data []byte) (Settings, error) {
 	r, err := newReader(data)
 	if err != nil {
@@ -216,7 +219,7 @@
 
 func parseLog(r *reader, l *Log) {
 	level := r.oneOf("log.level", "info", "debug", "info", "warn", "error")
-	_ = l.Level.UnmarshalText([]byte(level)) // oneOf admits only valid levels
+	_ = l.Level.UnmarshalText([]byte(level)) // oneOf returns only valid levels
 }
 
 func parseTrace(r *reader, t *Trace) {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -12,7 +12,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against valid files that are refused and wrong defaults.
+// Guards against valid files being rejected and against wrong defaults.
 func TestGood(t *testing.T) {
 	full, err := Load("testdata/good/full.toml")
 	assert.NilError(t, err)
@@ -31,13 +31,14 @@
 	assert.DeepEqual(t, minimal.Rings, full.Rings)
 }
 
-// Guards against an example file that drifts from the parser.
+// Guards against the example file getting out of step with the parser.
 func TestExample(t *testing.T) {
 	_, err := Load("../../docs/examples/arbutusdockd.toml")
 	assert.NilError(t, err)
 }
 
-// Guards against a fault that goes unreported or points at the wrong line.
+// Guards against faults that are not reported or have the wrong line number.
+// Each .want file lists the expected faults, of which the start must match.
 func TestBad(t *testing.T) {
 	files, err := filepath.Glob("testdata/bad/*.toml")
 	assert.NilError(t, err)
@@ -60,7 +61,7 @@
 	}
 }
 
-// Checks that no input panics.
+// Checks that no input causes a panic.
 func FuzzParse(f *testing.F) {
 	data, err := os.ReadFile("testdata/good/full.toml")
 	assert.NilError(f, err)
@@ -68,8 +69,9 @@
 	f.Fuzz(func(t *testing.T, data string) { _, _ = Parse([]byte(data)) })
 }
 
-// Guards against settings of a pass-through instance that are refused, wrong
-// defaults, and a template of the users' platform that does not fit the parser.
+// Guards against valid settings of a pass-through instance being rejected,
+// against wrong defaults, and against a settings template for the users'
+// platform (deploy/settings.toml) that the parser rejects.
 func TestPassthrough(t *testing.T) {
 	s, err := Load("../../docs/examples/passthrough.toml")
 	assert.NilError(t, err)
--- a/internal/telemetry/log.go
+++ b/internal/telemetry/log.go
@@ -1,6 +1,7 @@
 // Package telemetry sets up logging, metrics and traces. Logs are key=value
-// lines on an io.Writer; metrics are expvar variables whose names end in their
-// unit; traces are OpenTelemetry spans, one for each hop of a sampled request.
+// lines written to an io.Writer, metrics are expvar variables whose names end
+// in their unit, and traces are OpenTelemetry spans, one for each hop of a
+// sampled request.
 package telemetry
 
 import (
@@ -12,14 +13,15 @@
 	"arbutusdock.example/arbutusdock/internal/ids"
 )
 
-// NewLogger returns a logger that writes one key=value line for each event.
+// NewLogger returns a logger that writes each event as one line of key=value
+// pairs, including the name of the instance.
 func NewLogger(w io.Writer, level slog.Leveler, instance ids.Instance) *slog.Logger {
 	options := &slog.HandlerOptions{Level: level, ReplaceAttr: errorMessageOnly}
 	return slog.New(slog.NewTextHandler(w, options)).With("instance", string(instance))
 }
 
-// errorText logs the message of an error only. The text handler formats values
-// with %+v, for which eris prints the stack trace.
+// errorMessageOnly replaces an error attribute by the error's message. The text
+// handler would format the error with %+v, for which eris prints a stack trace.
 func errorMessageOnly(_ []string, a slog.Attr) slog.Attr {
 	if err, ok := a.Value.Any().(error); ok {
 		a.Value = slog.StringValue(err.Error())
@@ -27,15 +29,15 @@
 	return a
 }
 
-// ParseDetail splits the key=value words of a log detail into arguments for slog.
-// A value in double quotes is unquoted as in Go; a word without "=" joins the
-// value before it.
+// ParseDetail splits a string of key=value pairs, separated by spaces, into
+// arguments for slog. A value in double quotes is unquoted as in Go. A word
+// without "=" is appended to the value before it.
 func ParseDetail(detail string) []any {
 	var args []any
 	for detail = strings.TrimSpace(detail); detail != ""; detail = strings.TrimSpace(detail) {
 		key, rest, ok := strings.Cut(detail, "=")
 		if quoted, err := strconv.QuotedPrefix(rest); ok && err == nil && !strings.Contains(key, " ") {
-			value, _ := strconv.Unquote(quoted) // QuotedPrefix has checked it
+			value, _ := strconv.Unquote(quoted) // QuotedPrefix returned a valid quoted string
 			args = append(args, key, value)
 			detail = rest[len(quoted):]
 			continue
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -10,8 +10,8 @@
 	"arbutusdock.example/arbutusdock/internal/ring"
 )
 
-// Registry holds the metrics of one daemon. The variables are those of expvar
-// but are not published globally, so that several daemons fit in one process.
+// Registry holds the metrics of one daemon. They are expvar variables but are
+// not published globally, so that several daemons can run in one process.
 type Registry struct {
 	vars expvar.Map
 	mu   sync.Mutex
@@ -24,8 +24,8 @@
 	return r
 }
 
-// Counter returns the counter with this name and creates it at the first
-// call. The name ends in its unit, such as _total or _bytes_total.
+// Counter returns the counter with this name and creates it on the first call.
+// The name must end in its unit, such as _total or _bytes_total.
 func (r *Registry) Counter(name string) *expvar.Int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -37,10 +37,11 @@
 	return v
 }
 
-// Gauge registers f as the value of name.
+// Gauge registers a metric whose value is the result of f when it is read.
 func (r *Registry) Gauge(name string, f func() any) { r.vars.Set(name, expvar.Func(f)) }
 
-// RegisterRing registers the counters of one ring under its name.
+// RegisterRing registers the depth, peak, capacity and drop count of a ring
+// buffer under its name.
 func (r *Registry) RegisterRing(name string, stats func() ring.Stats) {
 	r.Gauge("ring_"+name+"_depth_entries", func() any { return stats().Depth })
 	r.Gauge("ring_"+name+"_peak_entries", func() any { return stats().Peak })
@@ -48,13 +49,13 @@
 	r.Gauge("ring_"+name+"_dropped_total", func() any { return stats().Dropped })
 }
 
-// ServeHTTP writes the metrics of the daemon and the global ones of the
-// process (cmdline, memstats) as one JSON object in the format of expvar.
+// ServeHTTP writes the metrics of the daemon and the global expvar variables of
+// the process (cmdline, memstats) as one JSON object in the format of expvar.
 func (r *Registry) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json; charset=utf-8")
 	separator := "{\n"
 	write := func(kv expvar.KeyValue) {
-		name, _ := json.Marshal(kv.Key) // a string always encodes
+		name, _ := json.Marshal(kv.Key) // encoding a string cannot fail
 		_, _ = fmt.Fprintf(w, "%s%s: %s", separator, name, kv.Value)
 		separator = ",\n"
 	}
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -19,7 +19,7 @@
 	"arbutusdock.example/arbutusdock/internal/ring"
 )
 
-// Guards against log lines that are not one line of key=value words.
+// Guards against log events that are not written as one line of key=value pairs.
 func TestLogLine(t *testing.T) {
 	var out bytes.Buffer
 	log := NewLogger(&out, slog.LevelInfo, "a1")
@@ -30,14 +30,15 @@
 	assert.Assert(t, strings.HasSuffix(line, `msg=config-applied instance=a1 revision=7 error="line 4: key=x" reason="two words"`+"\n"), line)
 }
 
-// Guards against stack traces, with paths of the build machine, in log lines.
+// Guards against log lines with stack traces, which contain paths of the build
+// machine.
 func TestLogErrorWithoutStack(t *testing.T) {
 	var out bytes.Buffer
 	NewLogger(&out, slog.LevelInfo, "a1").Warn("link-dial-failed", "error", eris.Wrap(eris.New("refused"), "dial"))
 	assert.Assert(t, strings.HasSuffix(out.String(), `error="dial: refused"`+"\n"), out.String())
 }
 
-// Guards against metrics that are missing from the page or break its JSON.
+// Guards against metrics that are missing from the page or make it invalid JSON.
 func TestRegistryPage(t *testing.T) {
 	r := NewRegistry()
 	r.Counter("callers_total").Add(2)
@@ -54,8 +55,8 @@
 	assert.Assert(t, page["memstats"] != nil)
 }
 
-// Guards against hops of one request in different traces, and against a
-// sampling share that is not kept.
+// Guards against hops of one request that appear in different traces, and
+// against a sampled fraction that differs from the configured one.
 func TestSpans(t *testing.T) {
 	spans := tracetest.NewSpanRecorder()
 	tracer := newTracer(spans, 0.25, "a1")
@@ -78,14 +79,15 @@
 	assert.NilError(t, tracer.Close(context.Background()))
 }
 
-// traceBytes returns the request number in the trace id of a span.
+// requestIDBytes returns the request ID, which is the second half of the trace
+// ID of a span.
 func requestIDBytes(s sdktrace.ReadOnlySpan) []byte {
 	id := s.SpanContext().TraceID()
 	return id[8:]
 }
 
-// Guards against an exporter that loses buffered spans at the end, and a
-// disabled tracer that records.
+// Guards against an exporter that loses buffered spans on Close, and against a
+// disabled tracer that records spans.
 func TestExporter(t *testing.T) {
 	var out bytes.Buffer
 	tracer, err := NewTracer(&out, 1, "a1")
@@ -103,8 +105,8 @@
 
 func (s blockedWriter) Write(p []byte) (int, error) { <-s.release; return len(p), nil }
 
-// Guards against a log stream that nobody reads and that stops the daemon, and
-// against lines lost at the end.
+// Guards against a log stream that is not being read blocking the daemon, and
+// against lines that are lost on Close.
 func TestWriterNeverBlocks(t *testing.T) {
 	blocked := blockedWriter{release: make(chan struct{})}
 	w := NewAsyncWriter(blocked, 4)
--- a/internal/telemetry/trace.go
+++ b/internal/telemetry/trace.go
@@ -16,25 +16,25 @@
 	"arbutusdock.example/arbutusdock/internal/ids"
 )
 
-// Hop describes one span: a step of a request at this instance.
+// Hop is one step of a request at this instance. It is recorded as one span.
 type Hop struct {
 	Name      string
-	RequestID uint64 // identifies the request; relays carry it to other instances
+	RequestID uint64 // also sent with relayed requests, so that other instances use the same one
 	Service   ids.Service
 	Target    ids.Target // empty when no backend server is involved
 	Start     time.Time
 	Duration  time.Duration
 }
 
-// Tracer turns hops of sampled requests into spans.
+// Tracer records the hops of sampled requests as spans.
 type Tracer struct {
 	provider        *sdktrace.TracerProvider
 	tracer          trace.Tracer
-	sampleThreshold uint64 // a request is sampled when its hash is at most this
+	sampleThreshold uint64 // a request is sampled if the hash of its ID is at most this value
 }
 
-// NewTracer returns a tracer that writes to w, or one that records nothing
-// when w is nil. sample is the share of requests that are traced, 0 to 1.
+// NewTracer returns a tracer that writes to w, or one that records nothing if w
+// is nil. sampleRatio is the fraction of requests that are traced, 0 to 1.
 func NewTracer(w io.Writer, sampleRatio float64, instance ids.Instance) (*Tracer, error) {
 	if w == nil || sampleRatio <= 0 {
 		return &Tracer{}, nil
@@ -49,7 +49,7 @@
 func newTracer(processor sdktrace.SpanProcessor, sampleRatio float64, instance ids.Instance) *Tracer {
 	provider := sdktrace.NewTracerProvider(
 		sdktrace.WithSpanProcessor(processor),
-		sdktrace.WithSampler(sdktrace.AlwaysSample()), // Record has sampled already
+		sdktrace.WithSampler(sdktrace.AlwaysSample()), // Record drops requests that are not sampled
 		sdktrace.WithResource(resource.NewSchemaless(attribute.String("service.instance.id", string(instance)))),
 	)
 	threshold := ^uint64(0)
@@ -59,21 +59,22 @@
 	return &Tracer{provider: provider, tracer: provider.Tracer("arbutusdock"), sampleThreshold: threshold}
 }
 
-// sampleKey and parentKey derive independent values from a request number.
+// sampleSalt and parentSpanSalt make the hashes of a request ID for the sampling
+// decision and for the parent span ID independent of each other.
 const (
 	sampleSalt     = 1
 	parentSpanSalt = 2
 )
 
-// Sampled reports whether the hops of a request are traced. The choice depends
-// on the request alone, so that all instances with the same sampling share
-// make the same one.
+// Sampled reports whether the hops of a request are traced. The decision depends
+// only on the request ID, so all instances with the same sample ratio make the
+// same decision.
 func (t *Tracer) Sampled(request uint64) bool {
 	return t.provider != nil && ids.Mix(request, sampleSalt) <= t.sampleThreshold
 }
 
-// Record emits the span of one hop. All hops of a request share a trace id, at
-// other instances as well.
+// Record emits the span of one hop if the request is sampled. All hops of a
+// request have the same trace ID, on all instances.
 func (t *Tracer) Record(h Hop) {
 	if !t.Sampled(h.RequestID) {
 		return
@@ -94,7 +95,7 @@
 	span.End(trace.WithTimestamp(h.Start.Add(h.Duration)))
 }
 
-// Close writes the spans that are still buffered.
+// Close exports the spans that are still buffered and stops the tracer.
 func (t *Tracer) Close(ctx context.Context) error {
 	if t.provider == nil {
 		return nil
--- a/internal/telemetry/writer.go
+++ b/internal/telemetry/writer.go
@@ -7,9 +7,9 @@
 	"arbutusdock.example/arbutusdock/internal/ring"
 )
 
-// AsyncWriter passes lines to another writer in a goroutine of its own, so that a
-// standard stream that nobody reads cannot block the caller. Lines that do not
-// fit in its ring are dropped and counted.
+// AsyncWriter writes lines to another writer in a separate goroutine, so that a
+// standard stream that is not being read cannot block the code that logs. Lines
+// that do not fit in its ring buffer are dropped and counted.
 type AsyncWriter struct {
 	lines *ring.Ring[[]byte]
 	stop  chan struct{}
@@ -17,7 +17,8 @@
 	done  chan struct{}
 }
 
-// NewAsyncWriter returns a writer to w with room for capacity lines. Close ends it.
+// NewAsyncWriter returns an AsyncWriter that writes to w and buffers up to
+// capacity lines. Close stops its goroutine.
 func NewAsyncWriter(w io.Writer, capacity int) *AsyncWriter {
 	a := &AsyncWriter{lines: ring.New[[]byte](capacity), stop: make(chan struct{}), done: make(chan struct{})}
 	go a.run(w)
@@ -29,7 +30,7 @@
 	for {
 		select {
 		case line := <-a.lines.Out():
-			_, _ = w.Write(line) // there is no place to report a failed log write
+			_, _ = w.Write(line) // a failed log write cannot be reported anywhere
 			continue
 		default:
 		}
@@ -45,16 +46,17 @@
 	}
 }
 
-// Write queues a copy of p. It always succeeds.
+// Write queues a copy of p, or drops it if the buffer is full. It never fails.
 func (a *AsyncWriter) Write(p []byte) (int, error) {
 	a.lines.Push(append([]byte(nil), p...))
 	return len(p), nil
 }
 
-// Stats returns the counters of the ring.
+// Stats returns the counters of the ring buffer.
 func (a *AsyncWriter) Stats() ring.Stats { return a.lines.Stats() }
 
-// Close writes the lines that are queued. Later lines are lost.
+// Close writes the queued lines and stops the goroutine. Lines passed to Write
+// afterwards are lost.
 func (a *AsyncWriter) Close() {
 	a.once.Do(func() { close(a.stop) })
 	<-a.done
