--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -96,7 +96,7 @@
 	r.isAdmitted, r.admission = true, id
 	c.requestsByAdmission[id] = r
 	if d.msg.Block1.Num > 0 || d.msg.Block2.Num > 0 {
-		k := flow.BlockKey{FlowKey: ids.FlowKey{Caller: d.caller, Service: s.name}, Path: d.msg.Path}
+		k := flow.BlockKey{FlowKey: ids.FlowKey{Caller: d.caller, Service: s.name}, Path: d.msg.PathHash}
 		route, _ := c.blockRoutes.Get(c.now, k)
 		r.pinnedTarget = route.Target
 	}
--- a/internal/core/long_test.go
+++ b/internal/core/long_test.go
@@ -20,7 +20,7 @@
 	long := message.HashPath("/l")
 	tc.backendResponse = func(b backendMessage) *message.Outgoing {
 		tc.backendRunTime = 10 * time.Millisecond
-		if b.m.Path == long {
+		if b.m.PathHash == long {
 			tc.backendRunTime = 500 * time.Millisecond
 		}
 		return &message.Outgoing{Type: message.Acknowledgement, Code: message.Content, ID: b.m.ID, Token: b.m.Token}
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -99,7 +99,7 @@
 // contentKey returns the key under which the predictor groups requests of
 // similar run time.
 func (s *service) contentKey(m *message.Message) uint64 {
-	return ids.Mix(s.hash, ids.Mix(m.Path, uint64(m.Code)))
+	return ids.Mix(s.hash, ids.Mix(m.PathHash, uint64(m.Code)))
 }
 
 // runTimeKey returns the content key of a first block and UntrackedKey for a
@@ -123,7 +123,7 @@
 	s := d.svc
 	*r = request{
 		callerExchange: d.callerExchange, hash: d.hash, datagram: append(r.datagram[:0], d.msg.Raw...),
-		code: d.msg.Code, path: d.msg.Path, block1: d.msg.Block1, hops: d.hops,
+		code: d.msg.Code, path: d.msg.PathHash, block1: d.msg.Block1, hops: d.hops,
 		runTimeKey: s.runTimeKey(d.msg), contentKey: s.contentKey(d.msg),
 		idempotent: s.idempotent&(1<<d.msg.Code) != 0,
 		partner:    s.partnerOf(d.msg.Host, d.caller),
