--- a/Makefile
+++ b/Makefile
@@ -23,8 +23,9 @@
 fuzz:
 	GO=$(GO) scripts/fuzz.sh
 
-# The path of a datagram and the core: decisions at 15 and at 29,000 targets,
-# latency added at half load, datagrams a second for one core, memory of feeds.
+# Benchmarks of the datagram path and the core: decisions with 15 and with 29,000
+# targets, added latency at half load, datagrams per second on one processor core,
+# memory of feeds.
 bench:
 	$(GO) test ./internal/core -run '^$$' -bench 'Request|Grant|Admit|Relay|Tick' -benchtime 300ms
 	$(GO) test ./internal/core -run '^$$' -bench FeedMemory -benchtime 1x
@@ -32,7 +33,8 @@
 	$(GO) test ./internal/daemon -run '^$$' -bench 'SocketPath' -benchtime 500ms
 	$(GO) test ./internal/passthrough -run '^$$' -bench . -benchtime 300ms
 
-# Slopes and the figures at the target size. Ends by itself in at most 4 minutes.
+# Capacity measurements: how costs grow with size, and the values at the target
+# size. Finishes within 4 minutes.
 capacity:
 	$(GO) run ./cmd/capacity --out docs/capacity --cores $(or $(CORES),2)
 
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,20 +1,21 @@
 #!/usr/bin/env bash
 # Runs the demo: two data centres with five instances each, their backend
-# servers, the platform, the fabric and the callers of both users, as separate
-# processes on loopback addresses. During about 30 s of load it changes a
-# profile, stops an instance as planned, drains backend servers and kills an
-# instance. The stand-ins count what broke. Exit status 0: every promise kept.
+# servers, the platform, the network fabric and the callers of both users, as
+# separate processes on loopback addresses. During about 30 s of load it changes
+# a profile, shuts an instance down gracefully, drains backend servers and kills
+# an instance. The stand-ins (test doubles) count violated guarantees. Exit
+# status 0: none was violated.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
-BASE=             # second byte of the first of five loopback networks
+BASE=             # second byte of the first of five consecutive loopback networks 127.N.0.0/16
 SECONDS_OF_LOAD=${DEMO_SECONDS:-30}
 BOARD_RATE=${DEMO_BOARD_RATE:-250}   # requests a second
 KELANI_RATE=${DEMO_KELANI_RATE:-150}
-FEEDS=${DEMO_FEEDS:-100}             # of each user
+FEEDS=${DEMO_FEEDS:-100}             # per user
 SEED=${DEMO_SEED:-1}
 
-# Takes networks that no other run on this machine uses.
+# Reserves loopback networks that no other run on this machine uses.
 for b in $(seq 10 5 95); do
 	LOCK=${TMPDIR:-/tmp}/arbutusdock-net-$b
 	if mkdir "$LOCK" 2>/dev/null; then
@@ -31,7 +32,8 @@
 BACKEND=http://$HELPERS.2:7400
 declare -A PID=()
 
-# Ends the processes of this run by id; the run directory is kept on a failure.
+# Terminates the processes of this run by process id. The run directory is kept
+# if the run failed.
 finish() {
 	local status=$? name
 	trap - EXIT INT TERM
@@ -50,14 +52,15 @@
 }
 trap finish EXIT INT TERM
 
-# start NAME COMMAND... runs a process with its output in a log file.
+# start NAME COMMAND... runs a command in the background with its output in a
+# log file.
 start() {
 	local name=$1
 	shift
 	"$@" >"$RUN/$name.log" 2>&1 &
 	PID[$name]=$!
 }
-# pause SECONDS: a signal ends it at once, unlike a plain sleep.
+# pause SECONDS waits; unlike a plain sleep, a signal interrupts it at once.
 pause() {
 	sleep "$1" &
 	PID[pause]=$!
@@ -72,7 +75,7 @@
 }
 event() { echo "$(date +%s%3N) $*" | tee -a "$RUN/events" >&2; }
 control() { "$BIN/standin" http "$@" >/dev/null; }
-until_ok() { # COMMAND...: repeats it for up to 15 s
+until_ok() { # COMMAND...: retries the command for up to 15 s until it succeeds
 	for _ in $(seq 150); do
 		"$@" >/dev/null 2>&1 && return 0
 		sleep 0.1
@@ -107,7 +110,7 @@
 while read -r id _ ip _; do
 	until_ok "$BIN/standin" http GET "http://$ip:7200/v1/state"
 done <"$RUN/instances.txt"
-pause 3 # the instances find each other and read the documents
+pause 3 # the instances discover each other and read the documents
 alive
 
 echo "load for $SECONDS_OF_LOAD s" >&2
--- a/scripts/fuzz.sh
+++ b/scripts/fuzz.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Random tests with fresh seeds for FUZZ_SECONDS (default 60), then each native
-# fuzz target for FUZZ_NATIVE_SECONDS (default 5). Prints the seed of a failure.
+# Runs the randomized tests (rapid) with new seeds for FUZZ_SECONDS (default 60),
+# then each Go fuzz target for FUZZ_NATIVE_SECONDS (default 5). On a failure of a
+# randomized test it prints the command with the seed that reproduces it.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 GO=${GO:-go}
--- a/scripts/instances.sh
+++ b/scripts/instances.sh
@@ -1,12 +1,13 @@
 #!/usr/bin/env bash
-# Measures real daemons in one data centre: control bytes, processor time and
-# memory of an idle instance, reads of the platform, and the time until a change
-# is in force everywhere, for each number of instances given (default 5 10 20
-# 40). Prints one line for each. Loopback only; ends its own processes by id.
+# Measures daemon processes in one data centre, for each number of instances given
+# as an argument (default 5 10 20 40): control traffic, processor time and memory
+# of an idle instance, reads from the platform, and the time until a change is in
+# effect on all instances. Prints one line per number. Uses loopback addresses
+# only and ends its own processes by process id.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
-BASE=80 # second byte of the first of five loopback networks
+BASE=80 # second byte of the first of five consecutive loopback networks 127.N.0.0/16
 SETTLE=${SETTLE_SECONDS:-20}
 WINDOW=${WINDOW_SECONDS:-10}
 RUN=$(mktemp -d)
@@ -22,14 +23,14 @@
 trap 'exit 1' INT TERM
 
 http() { "$RUN/bin/standin" http "$@"; }
-# metric ID NAME
+# metric ID NAME: value of a metric of an instance
 metric() { http GET "http://$(address "$1"):7200/debug/vars" | tr ',' '\n' | sed -n "s/.*\"$2\": *\([0-9]*\).*/\1/p" | head -1; }
 address() { awk -v id="$1" '$1 == id { print $3 }' "$dir/instances.txt"; }
 reads() { http GET "$PLATFORM/control/counts" | tr ',{}' '\n\n\n' | awk -F: '/reads|watches/ { n += $2 } END { print n + 0 }'; }
-# cpu PID: processor time in clock ticks of 10 ms
+# cpu PID: processor time of a process, in clock ticks of 10 ms
 cpu() { awk '{ print $14 + $15 }' "/proc/$1/stat"; }
 memory() { awk '/VmRSS/ { print $2 }' "/proc/$1/status"; }
-in_force() { # REVISION: number of instances that have it
+in_force() { # REVISION: number of instances that have applied this revision
 	local n=0 id
 	for id in $IDS; do
 		http GET "http://$(address "$id"):7200/v1/state" 2>/dev/null | grep -qE "\"[Rr]evision\": *$1\b" && n=$((n + 1))
--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Applies each patch of internal/proof/testdata/mutations to a temporary copy,
-# runs the proof on it and expects a failure. Arguments select patches by name.
+# Mutation tests: applies each patch in internal/proof/testdata/mutations to a
+# temporary copy of the repository, runs the tests on it and expects a failure.
+# Arguments select patches by name.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 GO=${GO:-go}
@@ -8,10 +9,12 @@
 copy=$(mktemp -d)
 trap 'rm -rf "$copy"' EXIT
 git ls-files -z | xargs -0 tar -cf - | tar -xf - -C "$copy"
-# prove runs the proof of the promises: the tests of the packages that hold them
-# up, then the random tests and the matrix of internal/proof.
+# prove NAME runs the tests that check the system's guarantees: those of the
+# packages that implement them, then the randomized tests and the fault matrix of
+# internal/proof. Only the former are run for patches of pass-through instances
+# (pt-*).
 prove() {
-	if [[ "$1" == pt-* ]]; then # pass-through flows
+	if [[ "$1" == pt-* ]]; then # patch of pass-through forwarding
 		timeout 240 "$GO" test -count=1 -failfast ./internal/passthrough ./internal/follow ./internal/fanout ./internal/forwarder ./platform
 		return
 	fi
