--- a/cmd/arbutusdock/main_test.go
+++ b/cmd/arbutusdock/main_test.go
@@ -73,9 +73,9 @@
 		code, _, errOut := runTool(args...)
 		assert.Equal(t, code, exitSuccess, errOut)
 	}
-	names, err := filepath.Glob(filepath.Join(dir, "*"))
+	files, err := filepath.Glob(filepath.Join(dir, "*"))
 	assert.NilError(t, err)
-	assert.Equal(t, len(names), 7)
+	assert.Equal(t, len(files), 7)
 	code, _, errOut := runTool("keys", "admission", "--dir", dir, "--id", "7")
 	assert.Assert(t, code == exitFailed && strings.Contains(errOut, "file exists"), errOut)
 	file := filepath.Join(dir, "a1.toml")
--- a/cmd/arbutusdockd/main_test.go
+++ b/cmd/arbutusdockd/main_test.go
@@ -134,7 +134,7 @@
 
 // Guards against a process that is suspended (SIGSTOP) and, once resumed,
 // continues to serve with outdated state.
-func TestPause(t *testing.T) {
+func TestResumeAfterSuspension(t *testing.T) {
 	admin := freeAddress(t)
 	p := startProcess(t, writeSettings(t, admin))
 	waitUntilReady(t, admin)
--- a/internal/documents/documents.go
+++ b/internal/documents/documents.go
@@ -26,9 +26,9 @@
 	// WatchWait is the time for which the platform delays its response to a
 	// watch (long poll) when there are no changes. WatchMargin is added to it
 	// for the client's timeout. A connection on which nothing arrives any more is
-	// thus detected and replaced after 4 s, within the 5 s in which a published
-	// change must take effect. Two watching instances in each of ten data
-	// centres cause 7 reads/s; the platform supports 2,000 reads/s.
+	// therefore replaced after 4 s, within the 5 s in which a published change
+	// must take effect. Two watching instances in each of ten data centres cause
+	// 7 reads/s; the platform supports 2,000 reads/s.
 	WatchWait   = 3 * time.Second
 	WatchMargin = 1 * time.Second
 	// MaxBodyBytes is the maximum size of a response body. A page contains at
@@ -105,12 +105,12 @@
 		return Page{}, ErrTooLarge
 	}
 	page := Page{UpToRevision: b.Upto, More: b.More}
-	last := after
+	lastRevision := after
 	for _, d := range b.Documents {
-		if d.Revision <= last || d.Key == "" {
+		if d.Revision <= lastRevision || d.Key == "" {
 			return Page{}, ErrOrder
 		}
-		last = d.Revision
+		lastRevision = d.Revision
 		p := core.Publication{Key: d.Key, Revision: d.Revision}
 		if d.Value != nil {
 			p.Value = []byte(*d.Value)
@@ -120,7 +120,7 @@
 	if b.More && len(page.Documents) > 0 {
 		// The documents after the last one are unknown, so the page is complete
 		// only up to that one.
-		page.UpToRevision = last
+		page.UpToRevision = lastRevision
 	}
 	return page, nil
 }
--- a/internal/documents/documents_test.go
+++ b/internal/documents/documents_test.go
@@ -41,7 +41,7 @@
 
 // Guards against losing the lower revision that shows that the platform's data
 // are stale.
-func TestStale(t *testing.T) {
+func TestStaleRevision(t *testing.T) {
 	c := newTestClient(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"upto":2,"documents":[]}`) })
 	page, err := c.Documents(context.Background(), 3, false)
 	assert.NilError(t, err)
@@ -82,7 +82,7 @@
 
 // Guards against calls that do not end when the platform accepts connections but
 // never responds.
-func TestSilentPlatform(t *testing.T) {
+func TestUnresponsivePlatform(t *testing.T) {
 	release := make(chan struct{})
 	c := newTestClient(t, func(http.ResponseWriter, *http.Request) { <-release })
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -43,7 +43,7 @@
 // CreateCA creates a CA with the common name name and writes ca.crt and ca.key
 // to dir. It fails if either file exists.
 func CreateCA(dir, name string, validity time.Duration) (*CA, error) {
-	public, private, err := ed25519.GenerateKey(rand.Reader)
+	publicKey, privateKey, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
 		return nil, eris.Wrap(err, "create CA key")
 	}
@@ -55,11 +55,11 @@
 	template.BasicConstraintsValid = true
 	template.MaxPathLenZero = true
 	template.KeyUsage = x509.KeyUsageCertSign
-	der, err := x509.CreateCertificate(rand.Reader, template, template, public, private)
+	der, err := x509.CreateCertificate(rand.Reader, template, template, publicKey, privateKey)
 	if err != nil {
 		return nil, eris.Wrap(err, "create CA certificate")
 	}
-	if err := writeKeyPair(dir, "ca", der, private); err != nil {
+	if err := writeKeyPair(dir, "ca", der, privateKey); err != nil {
 		return nil, err
 	}
 	return LoadCA(dir)
@@ -82,11 +82,11 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "parse CA key")
 	}
-	private, ok := key.(ed25519.PrivateKey)
-	if !ok || !private.Public().(ed25519.PublicKey).Equal(certificate.PublicKey) {
+	privateKey, ok := key.(ed25519.PrivateKey)
+	if !ok || !privateKey.Public().(ed25519.PublicKey).Equal(certificate.PublicKey) {
 		return nil, eris.Errorf("read CA: ca.key in %s does not belong to ca.crt", dir)
 	}
-	return &CA{certificate: certificate, key: private}, nil
+	return &CA{certificate: certificate, key: privateKey}, nil
 }
 
 // Issue creates the certificate and key of an instance and writes them to dir
@@ -95,7 +95,7 @@
 	if !ids.ValidName(string(id)) {
 		return eris.Errorf("issue certificate: %q must be %s", id, ids.NameRule)
 	}
-	public, private, err := ed25519.GenerateKey(rand.Reader)
+	publicKey, privateKey, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
 		return eris.Wrap(err, "create instance key")
 	}
@@ -106,11 +106,11 @@
 	template.DNSNames = []string{string(id)}
 	template.KeyUsage = x509.KeyUsageDigitalSignature
 	template.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}
-	der, err := x509.CreateCertificate(rand.Reader, template, ca.certificate, public, ca.key)
+	der, err := x509.CreateCertificate(rand.Reader, template, ca.certificate, publicKey, ca.key)
 	if err != nil {
 		return eris.Wrapf(err, "create certificate of %s", id)
 	}
-	return writeKeyPair(dir, string(id), der, private)
+	return writeKeyPair(dir, string(id), der, privateKey)
 }
 
 func newTemplate(name string, validity time.Duration) (*x509.Certificate, error) {
@@ -127,8 +127,8 @@
 	}, nil
 }
 
-func writeKeyPair(dir, name string, der []byte, private ed25519.PrivateKey) error {
-	key, err := x509.MarshalPKCS8PrivateKey(private)
+func writeKeyPair(dir, name string, der []byte, privateKey ed25519.PrivateKey) error {
+	key, err := x509.MarshalPKCS8PrivateKey(privateKey)
 	if err != nil {
 		return eris.Wrap(err, "encode key")
 	}
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -10,7 +10,7 @@
 )
 
 // Guards against an existing CA, certificate or key being overwritten.
-func TestNeverReplaces(t *testing.T) {
+func TestExistingFilesAreKept(t *testing.T) {
 	dir := t.TempDir()
 	ca, err := CreateCA(dir, "fleet", time.Hour)
 	assert.NilError(t, err)
@@ -24,7 +24,7 @@
 
 // Guards against key files that other users can read, and against instance names
 // that place files outside the directory.
-func TestFiles(t *testing.T) {
+func TestFileModeAndNames(t *testing.T) {
 	dir := t.TempDir()
 	ca, err := CreateCA(dir, "fleet", time.Hour)
 	assert.NilError(t, err)
@@ -43,10 +43,10 @@
 	key, err := LoadAdmissionKey(filepath.Join(dir, "admission-7.key"))
 	assert.NilError(t, err)
 	assert.Equal(t, len(key), AdmissionKeyBytes)
-	bad := filepath.Join(dir, "bad")
+	badFile := filepath.Join(dir, "bad")
 	for _, text := range []string{"", "00", "zz", string(make([]byte, maxKeyFileBytes+1))} {
-		assert.NilError(t, os.WriteFile(bad, []byte(text), 0o600))
-		_, err := LoadAdmissionKey(bad)
+		assert.NilError(t, os.WriteFile(badFile, []byte(text), 0o600))
+		_, err := LoadAdmissionKey(badFile)
 		assert.Assert(t, err != nil, "%q", text)
 	}
 }
--- a/internal/settings/reader.go
+++ b/internal/settings/reader.go
@@ -38,8 +38,8 @@
 
 func (f Faults) Error() string {
 	lines := make([]string, len(f))
-	for i, x := range f {
-		lines[i] = x.Error()
+	for i, fault := range f {
+		lines[i] = fault.Error()
 	}
 	return "settings: " + strings.Join(lines, "; ")
 }
@@ -85,15 +85,15 @@
 			r.flatten(joinKey(prefix, key), value)
 		}
 	case []any:
-		tables := 0
+		count := 0
 		for _, element := range v {
 			if table, ok := element.(map[string]any); ok {
-				r.flatten(fmt.Sprintf("%s[%d]", prefix, tables), table)
-				tables++
+				r.flatten(fmt.Sprintf("%s[%d]", prefix, count), table)
+				count++
 			}
 		}
-		r.tableCount[prefix] = tables
-		if tables == 0 {
+		r.tableCount[prefix] = count
+		if count == 0 {
 			r.values[prefix] = v
 		}
 	default:
@@ -105,7 +105,7 @@
 func (r *reader) indexLines(data []byte) {
 	var p unstable.Parser
 	p.Reset(data)
-	prefix, seen := "", map[string]int{}
+	prefix, arrayLengths := "", map[string]int{}
 	for p.NextExpression() {
 		expression := p.Expression()
 		key, line := keyAndLine(&p, expression)
@@ -113,8 +113,8 @@
 		case unstable.Table:
 			prefix = key
 		case unstable.ArrayTable:
-			prefix = fmt.Sprintf("%s[%d]", key, seen[key])
-			seen[key]++
+			prefix = fmt.Sprintf("%s[%d]", key, arrayLengths[key])
+			arrayLengths[key]++
 		case unstable.KeyValue:
 			r.indexValue(&p, joinKey(prefix, key), line, expression.Value())
 			continue
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -104,16 +104,16 @@
 	}
 	s.File = path
 	dir := filepath.Dir(path)
-	s.TLS.CA = resolve(dir, s.TLS.CA)
-	s.TLS.Certificate = resolve(dir, s.TLS.Certificate)
-	s.TLS.Key = resolve(dir, s.TLS.Key)
+	s.TLS.CA = resolvePath(dir, s.TLS.CA)
+	s.TLS.Certificate = resolvePath(dir, s.TLS.Certificate)
+	s.TLS.Key = resolvePath(dir, s.TLS.Key)
 	for i := range s.Admission.Keys {
-		s.Admission.Keys[i].File = resolve(dir, s.Admission.Keys[i].File)
+		s.Admission.Keys[i].File = resolvePath(dir, s.Admission.Keys[i].File)
 	}
 	return s, nil
 }
 
-func resolve(dir, file string) string {
+func resolvePath(dir, file string) string {
 	if filepath.IsAbs(file) {
 		return file
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -13,7 +13,7 @@
 )
 
 // Guards against valid files being rejected and against wrong defaults.
-func TestGood(t *testing.T) {
+func TestValidFiles(t *testing.T) {
 	full, err := Load("testdata/good/full.toml")
 	assert.NilError(t, err)
 	assert.Equal(t, len(full.Seeds), 2)
@@ -32,14 +32,14 @@
 }
 
 // Guards against the example file getting out of step with the parser.
-func TestExample(t *testing.T) {
+func TestExampleFile(t *testing.T) {
 	_, err := Load("../../docs/examples/arbutusdockd.toml")
 	assert.NilError(t, err)
 }
 
 // Guards against faults that are not reported or have the wrong line number.
-// Each .want file lists the expected faults, of which the start must match.
-func TestBad(t *testing.T) {
+// A .want file holds the expected start of each fault message, one per line.
+func TestInvalidFiles(t *testing.T) {
 	files, err := filepath.Glob("testdata/bad/*.toml")
 	assert.NilError(t, err)
 	assert.Assert(t, len(files) > 0)
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -58,8 +58,8 @@
 // Guards against hops of one request that appear in different traces, and
 // against a sampled fraction that differs from the configured one.
 func TestSpans(t *testing.T) {
-	spans := tracetest.NewSpanRecorder()
-	tracer := newTracer(spans, 0.25, "a1")
+	recorder := tracetest.NewSpanRecorder()
+	tracer := newTracer(recorder, 0.25, "a1")
 	sampled := 0
 	for i := range uint64(4000) {
 		if tracer.Sampled(i) {
@@ -69,12 +69,12 @@
 		tracer.Record(Hop{Name: "answered", RequestID: i, Service: "counter", Target: "t1", Start: time.Unix(2, 0)})
 	}
 	assert.Assert(t, sampled > 850 && sampled < 1150, "%d of 4000", sampled)
-	ended := spans.Ended()
+	ended := recorder.Ended()
 	assert.Equal(t, len(ended), 2*sampled)
 	assert.Equal(t, ended[0].SpanContext().TraceID(), ended[1].SpanContext().TraceID())
-	other := tracetest.NewSpanRecorder()
-	newTracer(other, 1, "a2").Record(Hop{Name: "relayed", RequestID: binary.BigEndian.Uint64(requestIDBytes(ended[0])), Start: time.Unix(1, 0)})
-	assert.Equal(t, ended[0].SpanContext().TraceID(), other.Ended()[0].SpanContext().TraceID(), "at another instance")
+	otherRecorder := tracetest.NewSpanRecorder()
+	newTracer(otherRecorder, 1, "a2").Record(Hop{Name: "relayed", RequestID: binary.BigEndian.Uint64(requestIDBytes(ended[0])), Start: time.Unix(1, 0)})
+	assert.Equal(t, ended[0].SpanContext().TraceID(), otherRecorder.Ended()[0].SpanContext().TraceID(), "at another instance")
 	assert.Equal(t, ended[0].EndTime().Sub(ended[0].StartTime()), time.Second)
 	assert.NilError(t, tracer.Close(context.Background()))
 }
