--- a/internal/settings/passthrough.go
+++ b/internal/settings/passthrough.go
@@ -21,7 +21,7 @@
 	Control  netip.AddrPort // address of the interface between instances; the zero value disables it
 	// Advertise is the address at which other instances reach Control.
 	Advertise netip.AddrPort
-	Seeds     string // control addresses of other instances, separated by commas
+	Seeds     string // control addresses of instances, separated by commas
 
 	ApplyWithin       time.Duration // time within which a published configuration change must be in effect
 	GracePeriod       time.Duration // time from SIGTERM until the process exits even with open flows
