--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a second run that replaces a CA, a certificate or a key.
-func TestNeverReplaces(t *testing.T) {
+// Guards against an existing CA, certificate or key being overwritten.
+func TestExistingFilesAreKept(t *testing.T) {
 	dir := t.TempDir()
 	ca, err := CreateCA(dir, "fleet", time.Hour)
 	assert.NilError(t, err)
@@ -22,9 +22,9 @@
 	assert.ErrorIs(t, CreateAdmissionKey(dir, 1), os.ErrExist)
 }
 
-// Guards against key files that other users can read, and names that leave
-// the directory.
-func TestFiles(t *testing.T) {
+// Guards against key files that other users can read, and against instance names
+// that place files outside the directory.
+func TestFileModeAndNames(t *testing.T) {
 	dir := t.TempDir()
 	ca, err := CreateCA(dir, "fleet", time.Hour)
 	assert.NilError(t, err)
@@ -35,17 +35,18 @@
 	assert.Equal(t, info.Mode().Perm(), os.FileMode(0o600))
 }
 
-// Guards against short, long or garbled admission keys that are used.
+// Guards against admission keys being accepted that are too short, too long or
+// not hexadecimal.
 func TestLoadAdmissionKey(t *testing.T) {
 	dir := t.TempDir()
 	assert.NilError(t, CreateAdmissionKey(dir, 7))
 	key, err := LoadAdmissionKey(filepath.Join(dir, "admission-7.key"))
 	assert.NilError(t, err)
 	assert.Equal(t, len(key), AdmissionKeyBytes)
-	bad := filepath.Join(dir, "bad")
-	for _, text := range []string{"", "00", "zz", string(make([]byte, maxKeyFile+1))} {
-		assert.NilError(t, os.WriteFile(bad, []byte(text), 0o600))
-		_, err := LoadAdmissionKey(bad)
+	badFile := filepath.Join(dir, "bad")
+	for _, text := range []string{"", "00", "zz", string(make([]byte, maxKeyFileBytes+1))} {
+		assert.NilError(t, os.WriteFile(badFile, []byte(text), 0o600))
+		_, err := LoadAdmissionKey(badFile)
 		assert.Assert(t, err != nil, "%q", text)
 	}
 }
--- a/internal/reload/reload.go
+++ b/internal/reload/reload.go
@@ -1,6 +1,6 @@
-// Package reload reads the settings file of a running instance again: when
-// asked to, and when the file has changed. The log level takes effect at once;
-// of all else it reports that a restart is needed.
+// Package reload reloads the settings file of a running instance, on request or
+// when the file has changed. A new log level takes effect at once; for any other
+// change it logs that a restart is needed.
 package reload
 
 import (
@@ -13,61 +13,62 @@
 	"arbutusdock.example/arbutusdock/internal/settings"
 )
 
-// settingsPoll is the interval at which the settings file is checked for a
-// change that no signal has announced. One look at its time of change costs a
-// few microseconds.
-const settingsPoll = 5 * time.Second
+// pollInterval is the interval at which the modification time of the settings
+// file is checked, to detect changes without a signal. One check takes a few
+// microseconds.
+const pollInterval = 5 * time.Second
 
 // Watcher watches the settings file of one instance.
 type Watcher struct {
-	running settings.Settings // with which the instance was started
-	level   *slog.LevelVar
-	log     *slog.Logger
-	asked   chan struct{}
+	running  settings.Settings // settings with which the instance was started
+	level    *slog.LevelVar
+	log      *slog.Logger
+	requests chan struct{}
 }
 
 // New returns a Watcher of the file from which the running settings were read.
-// It changes level, and logs to log.
+// The Watcher sets level on a reload and logs to log.
 func New(running settings.Settings, level *slog.LevelVar, log *slog.Logger) *Watcher {
-	return &Watcher{running: running, level: level, log: log, asked: make(chan struct{}, 1)}
+	return &Watcher{running: running, level: level, log: log, requests: make(chan struct{}, 1)}
 }
 
-// Reload asks for the settings file to be read again. It does not wait.
+// Reload requests a reload of the settings file and returns without waiting for
+// it.
 func (w *Watcher) Reload() {
 	select {
-	case w.asked <- struct{}{}:
-	default: // one is already asked for
+	case w.requests <- struct{}{}:
+	default: // a reload is already pending
 	}
 }
 
-// Run reads the settings again when asked to, or when the file has changed,
-// until ctx ends.
+// Run reloads the settings on request and when the file has changed, until ctx
+// ends.
 func (w *Watcher) Run(ctx context.Context) {
 	if w.running.File == "" {
 		return
 	}
-	ticker := time.NewTicker(settingsPoll)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
-	last := modified(w.running.File)
+	lastModTime := modTime(w.running.File)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-w.asked:
-			last = modified(w.running.File)
+		case <-w.requests:
+			lastModTime = modTime(w.running.File)
 			w.apply("signal")
 		case <-ticker.C:
-			if at := modified(w.running.File); !at.Equal(last) {
-				last = at
+			if current := modTime(w.running.File); !current.Equal(lastModTime) {
+				lastModTime = current
 				w.apply("file changed")
 			}
 		}
 	}
 }
 
-// modified returns the time of the last change of a file, zero when it cannot
-// be read; the file may be absent while it is replaced.
-func modified(file string) time.Time {
+// modTime returns the modification time of a file, or the zero time if it cannot
+// be read; the file can be absent for a moment while it is replaced.
+func modTime(file string) time.Time {
 	info, err := os.Stat(file)
 	if err != nil {
 		return time.Time{}
@@ -75,25 +76,25 @@
 	return info.ModTime()
 }
 
-// apply puts the log level of the file in force and reports whether anything
-// else differs from the start. A file with faults changes nothing.
+// apply loads the file, sets the log level from it and logs whether any other
+// setting differs from those at startup. A file with faults changes nothing.
 func (w *Watcher) apply(cause string) {
-	next, err := settings.Load(w.running.File)
+	loaded, err := settings.Load(w.running.File)
 	if err != nil {
 		w.log.Error("reload-refused", "cause", cause, "error", err)
 		return
 	}
-	if (next.Passthrough == nil) != (w.running.Passthrough == nil) {
-		w.log.Error("reload-refused", "cause", cause, "error", "the table [passthrough] has come or gone")
+	if (loaded.Passthrough == nil) != (w.running.Passthrough == nil) {
+		w.log.Error("reload-refused", "cause", cause, "error", "the table [passthrough] was added or removed")
 		return
 	}
-	w.level.Set(logs(&next).Level)
-	*logs(&next) = *logs(&w.running)
-	w.log.Info("reloaded", "cause", cause, "log_level", w.level.Level(), "restart_needed", !reflect.DeepEqual(next, w.running))
+	w.level.Set(logSettings(&loaded).Level)
+	*logSettings(&loaded) = *logSettings(&w.running)
+	w.log.Info("reloaded", "cause", cause, "log_level", w.level.Level(), "restart_needed", !reflect.DeepEqual(loaded, w.running))
 }
 
-// logs returns the log settings of either kind of instance.
-func logs(s *settings.Settings) *settings.Log {
+// logSettings returns the log settings of a CoAP or a pass-through instance.
+func logSettings(s *settings.Settings) *settings.Log {
 	if s.Passthrough != nil {
 		return &s.Passthrough.Log
 	}
