--- a/internal/message/codec.go
+++ b/internal/message/codec.go
@@ -14,24 +14,26 @@
 )
 
 const (
-	// MaxOptions bounds the options of one message. go-coap fails when its
-	// option slice is full; a message of Block-wise size has far fewer.
+	// MaxOptions is the largest number of options in one message. go-coap
+	// returns an error when its option slice is full. A message within the size
+	// of a Block-wise block has far fewer options.
 	MaxOptions = 128
-	// MaxDatagram is the largest datagram that is encoded, in bytes: the
-	// greatest UDP payload over IPv4.
+	// MaxDatagram is the largest datagram that Encode produces, in bytes: the
+	// maximum UDP payload over IPv4.
 	MaxDatagram = 65507
-	// Deadline is the number of the elective option that carries the time left
-	// for a request, in milliseconds (experimental range, RFC 7252 section 12.2).
+	// Deadline is the number of the elective option that contains the remaining
+	// time for a request, in milliseconds. It is in the experimental range (RFC
+	// 7252 section 12.2).
 	Deadline coap.OptionID = 65000
 
-	headerBytes     = 4 // RFC 7252 section 3
-	maxOptionHeader = 5 // delta and length with their extensions, section 3.1
+	headerSize          = 4 // RFC 7252 section 3
+	maxOptionHeaderSize = 5 // option delta and length with their extensions, RFC 7252 section 3.1
 
 	defaultMaxAge = 60 // seconds, RFC 7252 section 5.10.5
 	maxObserve    = 1<<24 - 1
 )
 
-// Errors of Decode beyond those of go-coap.
+// Errors that Decode returns in addition to those of go-coap.
 var (
 	ErrEmptyWithContent = eris.New("decode CoAP: empty message carries a token, options or a payload")
 	ErrReservedCode     = eris.New("decode CoAP: code of a reserved class")
@@ -39,45 +41,46 @@
 
 // codec holds the buffers of one Decode or Encode call.
 type codec struct {
-	msg     coap.Message
-	options [MaxOptions + spareOptions]coap.Option
-	uints   [3][4]byte // values of Observe, Max-Age and Deadline
-	used    int        // options that may refer to the caller's memory
-	token   [8]byte
-	hash    xxhash.Digest
-	prefix  [6]byte
+	msg         coap.Message
+	options     [MaxOptions + maxAddedOptions]coap.Option
+	uintBuffers [3][4]byte // values of Observe, Max-Age and Deadline
+	usedOptions int        // number of entries of options that may refer to memory of the caller
+	token       [8]byte
+	hash        xxhash.Digest
+	hashPrefix  [6]byte
 }
 
-// spareOptions is the room for the options that Encode may add to a template.
-const spareOptions = 4
+// maxAddedOptions is the number of options that Encode may add to a template.
+const maxAddedOptions = 4
 
-var codecs = sync.Pool{New: func() any { return new(codec) }}
+var codecPool = sync.Pool{New: func() any { return new(codec) }}
 
 func (c *codec) decode(datagram []byte) error {
 	c.msg.Options = c.options[:0:MaxOptions]
 	_, err := coder.DefaultCoder.Decode(datagram, &c.msg)
 	if err != nil {
-		c.used = MaxOptions // how far go-coap got is unknown
+		c.usedOptions = MaxOptions // go-coap does not report how many options it decoded
 		return eris.Wrap(err, "decode CoAP")
 	}
-	c.used = len(c.msg.Options)
+	c.usedOptions = len(c.msg.Options)
 	return nil
 }
 
-// release returns c to the pool without references to the caller's memory.
+// release clears the references to the caller's memory and returns c to the
+// pool.
 func (c *codec) release() {
-	clear(c.options[:c.used])
-	c.msg, c.used = coap.Message{}, 0
-	codecs.Put(c)
+	clear(c.options[:c.usedOptions])
+	c.msg, c.usedOptions = coap.Message{}, 0
+	codecPool.Put(c)
 }
 
-// Decode fills m with the view of datagram. On error m is not usable and the
-// datagram is malformed: a truncated header or option, a reserved version or
-// code class (RFC 7252 section 3), an empty message with content (section
-// 4.1), or more than MaxOptions options. Of an option that must not be
-// repeated the first occurrence counts (section 5.4.5).
+// Decode decodes datagram into m, which aliases it. On error m must not be used:
+// the datagram is malformed. It has a truncated header or option, a reserved
+// version or code class (RFC 7252 section 3), content in an empty message
+// (section 4.1), or more than MaxOptions options. Only the first occurrence of
+// an option that must not be repeated is used (section 5.4.5).
 func Decode(datagram []byte, m *Message) error {
-	c := codecs.Get().(*codec)
+	c := codecPool.Get().(*codec)
 	defer c.release()
 	if err := c.decode(datagram); err != nil {
 		return err
@@ -97,30 +100,30 @@
 		MaxAge: defaultMaxAge,
 	}
 	m.Token.Len = uint8(copy(m.Token.Bytes[:], c.msg.Token))
-	c.view(m)
-	m.PathHash = c.pathHash()
-	m.Digest = c.digest()
+	c.readOptions(m)
+	m.PathHash = c.hashPath()
+	m.Digest = c.computeDigest()
 	return nil
 }
 
-// view copies the options that the decision logic reads into m.
-func (c *codec) view(m *Message) {
+// readOptions copies the options that the decision logic uses to m.
+func (c *codec) readOptions(m *Message) {
 	var hasMaxAge bool
 	for _, o := range c.msg.Options {
 		switch o.ID {
 		case coap.Echo:
-			setFirst(&m.Echo, o.Value)
+			setIfNil(&m.Echo, o.Value)
 		case coap.URIHost:
-			setFirst(&m.Host, o.Value)
+			setIfNil(&m.Host, o.Value)
 		case coap.ETag:
-			setFirst(&m.ETag, o.Value)
+			setIfNil(&m.ETag, o.Value)
 		case coap.Observe:
 			if !m.HasObserve {
-				m.HasObserve, m.Observe = true, uintValue(o.Value)
+				m.HasObserve, m.Observe = true, decodeUint(o.Value)
 			}
 		case coap.MaxAge:
 			if !hasMaxAge {
-				hasMaxAge, m.MaxAge = true, uintValue(o.Value)
+				hasMaxAge, m.MaxAge = true, decodeUint(o.Value)
 			}
 		case coap.Block1:
 			setBlock(&m.Block1, o.Value)
@@ -130,23 +133,24 @@
 	}
 }
 
-func setFirst(dst *[]byte, value []byte) {
+func setIfNil(dst *[]byte, value []byte) {
 	if *dst == nil {
 		*dst = value
 	}
 }
 
-// setBlock decodes RFC 7959 section 2.2. A value of more than three bytes is
-// no valid block option and is left for the backend server to reject.
+// setBlock decodes the value of a Block option (RFC 7959 section 2.2). A value of
+// more than three bytes is invalid; it is ignored here, and the backend server
+// rejects it.
 func setBlock(b *Block, value []byte) {
 	if b.Present || len(value) > 3 {
 		return
 	}
-	v := uintValue(value)
+	v := decodeUint(value)
 	*b = Block{Present: true, Num: v >> 4, More: v&8 != 0, SZX: uint8(v & 7)}
 }
 
-func uintValue(value []byte) uint32 {
+func decodeUint(value []byte) uint32 {
 	var v uint32
 	for _, b := range value {
 		v = v<<8 | uint32(b)
@@ -154,12 +158,13 @@
 	return v
 }
 
-// digest hashes the code, every option except Echo, and the payload. Number
-// and length precede each value, so that no two messages hash the same bytes.
-func (c *codec) digest() uint64 {
+// computeDigest hashes the code, all options except Echo, and the payload. The
+// number and length of each option precede its value, so that different
+// messages never produce the same input of the hash function.
+func (c *codec) computeDigest() uint64 {
 	c.hash.Reset()
-	c.prefix[0] = byte(c.msg.Code)
-	_, _ = c.hash.Write(c.prefix[:1])
+	c.hashPrefix[0] = byte(c.msg.Code)
+	_, _ = c.hash.Write(c.hashPrefix[:1])
 	for i := range c.msg.Options {
 		if o := &c.msg.Options[i]; o.ID != coap.Echo {
 			c.hashOption(o)
@@ -170,13 +175,13 @@
 }
 
 func (c *codec) hashOption(o *coap.Option) {
-	binary.BigEndian.PutUint16(c.prefix[:2], uint16(o.ID))
-	binary.BigEndian.PutUint32(c.prefix[2:], uint32(len(o.Value)))
-	_, _ = c.hash.Write(c.prefix[:])
+	binary.BigEndian.PutUint16(c.hashPrefix[:2], uint16(o.ID))
+	binary.BigEndian.PutUint32(c.hashPrefix[2:], uint32(len(o.Value)))
+	_, _ = c.hash.Write(c.hashPrefix[:])
 	_, _ = c.hash.Write(o.Value)
 }
 
-func (c *codec) pathHash() uint64 {
+func (c *codec) hashPath() uint64 {
 	c.hash.Reset()
 	for i := range c.msg.Options {
 		if o := &c.msg.Options[i]; o.ID == coap.URIPath {
@@ -189,7 +194,7 @@
 // HashPath returns the value that Decode gives Message.PathHash for the segments
 // of path, which are separated by slashes.
 func HashPath(path string) uint64 {
-	c := codecs.Get().(*codec)
+	c := codecPool.Get().(*codec)
 	defer c.release()
 	c.hash.Reset()
 	path = strings.Trim(path, "/")
@@ -202,31 +207,31 @@
 }
 
 // Encode appends the datagram that o describes to dst and returns the result.
-// All options of the template that o does not replace are kept, in order and
-// unchanged, critical ones included; only elective options whose length
-// RFC 7252 section 5.4.3 forbids are left out by go-coap. On error dst is
-// returned as it was.
+// All options of the template that o does not replace, including critical ones,
+// are kept unchanged and in order. The only exception are elective options with
+// a length that RFC 7252 section 5.4.3 forbids; go-coap omits them. On error,
+// Encode returns dst unchanged.
 func Encode(dst []byte, o *Outgoing) ([]byte, error) {
-	c := codecs.Get().(*codec)
+	c := codecPool.Get().(*codec)
 	defer c.release()
 	if o.Template != nil {
 		if err := c.decode(o.Template); err != nil {
-			return dst, eris.Wrap(err, "encode CoAP: template")
+			return dst, eris.Wrap(err, "encode CoAP: invalid template")
 		}
 	}
-	// Raises the capacity to include the spare options.
+	// Raise the capacity by maxAddedOptions.
 	c.msg.Options = c.options[:len(c.msg.Options)]
-	c.used = len(c.msg.Options) + spareOptions
-	c.apply(o)
-	return c.append(dst)
+	c.usedOptions = len(c.msg.Options) + maxAddedOptions
+	c.applyOutgoing(o)
+	return c.appendTo(dst)
 }
 
-func (c *codec) apply(o *Outgoing) {
+func (c *codec) applyOutgoing(o *Outgoing) {
 	c.msg.Type, c.msg.MessageID = coap.Type(o.Type), int32(o.ID)
 	if o.Template == nil || o.Code != Empty {
 		c.msg.Code = codes.Code(o.Code)
 	}
-	c.token = o.Token.Bytes // a slice of o itself would force every Outgoing onto the heap
+	c.token = o.Token.Bytes // copied, because a slice of o.Token would move every Outgoing to the heap
 	c.msg.Token = c.token[:min(o.Token.Len, coap.MaxTokenSize)]
 	if o.Payload != nil {
 		c.msg.Payload = o.Payload
@@ -251,9 +256,10 @@
 	}
 }
 
-// setUint sets an option to v in the shortest form, RFC 7252 section 3.2.
+// setUint sets an option to the shortest encoding of v (RFC 7252 section 3.2).
+// slot selects the buffer that holds the value.
 func (c *codec) setUint(slot int, id coap.OptionID, v uint32) {
-	value := c.uints[slot][:]
+	value := c.uintBuffers[slot][:]
 	binary.BigEndian.PutUint32(value, v)
 	for len(value) > 0 && value[0] == 0 {
 		value = value[1:]
@@ -261,18 +267,18 @@
 	c.msg.Options = c.msg.Options.Set(coap.Option{ID: id, Value: value})
 }
 
-// bound returns an upper limit of the encoded size. It is cheaper than the
-// size that go-coap computes, which marshals all options.
-func (c *codec) bound() int {
-	size := headerBytes + len(c.msg.Token) + 1 + len(c.msg.Payload)
+// maxEncodedSize returns an upper bound of the encoded size. It is cheaper than
+// the size computation of go-coap, which marshals all options.
+func (c *codec) maxEncodedSize() int {
+	size := headerSize + len(c.msg.Token) + 1 + len(c.msg.Payload)
 	for i := range c.msg.Options {
-		size += maxOptionHeader + len(c.msg.Options[i].Value)
+		size += maxOptionHeaderSize + len(c.msg.Options[i].Value)
 	}
 	return size
 }
 
-func (c *codec) append(dst []byte) ([]byte, error) {
-	dst = slices.Grow(dst, c.bound())
+func (c *codec) appendTo(dst []byte) ([]byte, error) {
+	dst = slices.Grow(dst, c.maxEncodedSize())
 	start := len(dst)
 	size, err := coder.DefaultCoder.Encode(c.msg, dst[start:cap(dst)])
 	if err != nil {
--- a/internal/ring/ring_test.go
+++ b/internal/ring/ring_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a full ring that blocks its producer or loses count.
+// Guards against a full ring that blocks the producer or counts wrongly.
 func TestFullRingDropsNewest(t *testing.T) {
 	r := New[int](2)
 	assert.Assert(t, r.Push(1) && r.Push(2) && !r.Push(3))
@@ -16,7 +16,8 @@
 	assert.Equal(t, <-r.Out(), 2)
 }
 
-// Guards against entries lost or counted twice with several producers.
+// Guards against entries that are lost or counted twice when several producers
+// push concurrently.
 func TestConcurrentProducers(t *testing.T) {
 	r := New[int](64)
 	var wg sync.WaitGroup
@@ -29,11 +30,11 @@
 	}
 	done := make(chan struct{})
 	go func() { wg.Wait(); close(done) }()
-	taken := uint64(0)
+	received := uint64(0)
 	for {
 		select {
 		case <-r.Out():
-			taken++
+			received++
 			continue
 		case <-done:
 		}
@@ -41,7 +42,7 @@
 	}
 	s := r.Stats()
 	assert.Equal(t, s.Pushed+s.Dropped, uint64(8000))
-	assert.Equal(t, taken+uint64(s.Depth), s.Pushed)
+	assert.Equal(t, received+uint64(s.Depth), s.Pushed)
 }
 
 func BenchmarkPushPop(b *testing.B) {
