--- a/cmd/standin/callers.go
+++ b/cmd/standin/callers.go
@@ -56,9 +56,9 @@
 		ports[string(s.Name)] = s.Port
 	}
 	k, err := caller.New(ctx, caller.Options{
-		User: c.User, Public: public, Ports: ports, Sources: sources, Feeds: feeds, Hosts: c.Hosts, Local: c.Local,
-		Callers: c.Callers, Duration: c.Duration, Deadline: c.Deadline, Refresh: c.Refresh, Silence: c.Silence,
-		Burst: c.Burst, Zipf: c.Zipf, Seed: c.Seed,
+		User: c.User, PublicIPs: public, Ports: ports, Sources: sources, Feeds: feeds, PartnerHosts: c.Hosts, FirstLocalIP: c.Local,
+		Callers: c.Callers, Duration: c.Duration, Deadline: c.Deadline, RefreshInterval: c.Refresh, SilenceTimeout: c.Silence,
+		BurstFactor: c.Burst, ZipfExponent: c.Zipf, Seed: c.Seed,
 	})
 	if err != nil {
 		return err
@@ -102,7 +102,7 @@
 			return err
 		}
 	}
-	v := report.Judge(in)
+	v := report.Evaluate(in)
 	if err := report.Write(os.Stdout, in, v); err != nil {
 		return err
 	}
--- a/cmd/standin/world.go
+++ b/cmd/standin/world.go
@@ -54,7 +54,7 @@
 	if err != nil {
 		return err
 	}
-	opt := fabric.Options{Platform: c.Platform, Public: public, Poll: c.Poll, Idle: c.Idle, Seed: c.Seed}
+	opt := fabric.Options{PlatformURL: c.Platform, PublicIPs: public, PollInterval: c.Poll, IdleTimeout: c.Idle, Seed: c.Seed}
 	for _, s := range services {
 		opt.Ports = append(opt.Ports, s.Port)
 	}
@@ -126,8 +126,8 @@
 		}
 	}
 	g, err := backend.Start(backend.Options{
-		Services: services, DataCentre: c.DataCentre, Run: run, LongFactor: c.LongFactor, Queue: c.Queue,
-		FeedInterval: c.FeedInterval, DrainGrace: c.DrainGrace, ColdFor: c.ColdFor, Logger: slog.Default(),
+		Services: services, DataCentre: c.DataCentre, RunTime: run, LongRunFactor: c.LongFactor, QueueLimit: c.Queue,
+		FeedInterval: c.FeedInterval, DrainGrace: c.DrainGrace, ColdPeriod: c.ColdFor, Logger: slog.Default(),
 	})
 	if err != nil {
 		return err
--- a/e2e/e2e_test.go
+++ b/e2e/e2e_test.go
@@ -96,7 +96,7 @@
 	time.Sleep(time.Second)
 	mid := f.target("counter/counter-1-1")
 	time.Sleep(2 * time.Second)
-	f.send("PUT", f.platform()+"/control/fault", platform.Fault{Stale: before.Upto})
+	f.send("PUT", f.platform()+"/control/fault", platform.Fault{StaleRevision: before.Upto})
 	f.signal("dc1-3", syscall.SIGTERM)
 	f.send("POST", f.platform()+"/control/instances/dc1-3/leave", nil)
 	f.wait("dc1-3")
@@ -104,7 +104,7 @@
 	v := verdict()
 	after := f.target("counter/counter-1-1")
 	kept(t, v)
-	assert.Equal(t, after.Runs, mid.Runs, "a target drained by an accepted document got work again")
+	assert.Equal(t, after.Executions, mid.Executions, "a target drained by an accepted document got work again")
 	assert.Equal(t, after.Feeds, 0)
 }
 
@@ -116,7 +116,7 @@
 	f := start(t)
 	v := f.loadFrom(caller.Options{Duration: 4 * time.Second, AckTimeout: 2 * time.Second}, overloadRate)()
 	kept(t, v)
-	assert.Equal(t, v.Wasted, 0)
+	assert.Equal(t, v.WastedExecutions, 0)
 }
 
 func (f *fleet) target(name string) wire.TargetCounts {
@@ -136,7 +136,7 @@
 	time.Sleep(2 * time.Second)
 	f.event(report.Kill) // callers of a data centre that is cut off lose it for the time
 	f.send("PUT", f.platform()+"/control/fault", platform.Fault{Listen: f.helper(2, 1), Down: true})
-	f.send("PUT", f.fabric()+"/faults", fabric.Faults{CutDataCentres: []string{"dc2"}, SplitDataCentres: []string{"dc2"}})
+	f.send("PUT", f.fabric()+"/faults", fabric.Faults{BlockedDataCentres: []string{"dc2"}, PartitionedDataCentres: []string{"dc2"}})
 	time.Sleep(3 * time.Second)
 	f.send("PUT", f.fabric()+"/faults", fabric.Faults{})
 	time.Sleep(2 * time.Second)
@@ -161,7 +161,7 @@
 	verdict := f.load(12*time.Second, rate)
 	time.Sleep(2 * time.Second)
 	f.event(report.Kill) // a feed may fall silent once and must come back
-	f.send("PUT", f.backend()+"/control", backend.Control{Service: "alarm", Mute: true})
+	f.send("PUT", f.backend()+"/control", backend.Control{Service: "alarm", MuteFeeds: true})
 	kept(t, verdict())
 }
 
@@ -172,7 +172,7 @@
 	f := start(t)
 	verdict := f.load(8*time.Second, rate)
 	time.Sleep(2 * time.Second)
-	f.send("PUT", f.backend()+"/control", backend.Control{Service: "counter", Target: "counter-1-1", Lie: "failing"})
+	f.send("PUT", f.backend()+"/control", backend.Control{Service: "counter", Target: "counter-1-1", StatusOverride: "failing"})
 	f.send("PUT", f.backend()+"/control", backend.Control{Service: "alarm", Target: "alarm-1-1", State: backend.Draining})
 	kept(t, verdict())
 }
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -124,7 +124,7 @@
 	f.process("fabric", append([]string{"standin", "fabric", "--documents", docs, "--platform", f.platform(),
 		"--control", f.helper(0, 3) + ":7400", "--links", filepath.Join(f.dir, "links.txt"), "--public"}, f.public()...)...)
 	f.until(func() bool {
-		return f.try("PUT", f.fabric()+"/faults", fabric.Faults{DelayMS: map[string]float64{"dc1": 1, "dc2": 1}, BetweenMS: 0.5}, nil)
+		return f.try("PUT", f.fabric()+"/faults", fabric.Faults{DelayMS: map[string]float64{"dc1": 1, "dc2": 1}, LinkDelayMS: 0.5}, nil)
 	})
 	for id := range f.list {
 		f.instance(id)
@@ -276,12 +276,12 @@
 		sources, feeds, err := caller.Mix(user, rate, 12)
 		assert.NilError(f.t, err)
 		opt.User, opt.Sources, opt.Feeds = user, sources, feeds
-		opt.Public = map[string]netip.Addr{
+		opt.PublicIPs = map[string]netip.Addr{
 			"dc1": netip.AddrFrom4([4]byte{127, byte(f.base + 2), 1, 1}), "dc2": netip.AddrFrom4([4]byte{127, byte(f.base + 2), 2, 1}),
 		}
 		opt.Ports = map[string]uint16{"counter": 5701, "slip": 5702, "alarm": 5703, "certificate": 5704}
-		opt.Local = netip.AddrFrom4([4]byte{127, byte(f.base + 3), byte(i + 1), 1})
-		opt.Callers, opt.Deadline, opt.Refresh, opt.Silence, opt.Zipf, opt.Seed = 6, 5*time.Second, 4*time.Second, 3*time.Second, 1.2, seed
+		opt.FirstLocalIP = netip.AddrFrom4([4]byte{127, byte(f.base + 3), byte(i + 1), 1})
+		opt.Callers, opt.Deadline, opt.RefreshInterval, opt.SilenceTimeout, opt.ZipfExponent, opt.Seed = 6, 5*time.Second, 4*time.Second, 3*time.Second, 1.2, seed
 		c, err := caller.New(ctx, opt)
 		assert.NilError(f.t, err)
 		go func() { results <- c.Run(ctx) }()
@@ -291,7 +291,7 @@
 		var counts wire.BackendCounts
 		assert.Assert(f.t, f.try("GET", f.backend()+"/counts", nil, &counts))
 		in.Backends = []wire.BackendCounts{counts}
-		v := report.Judge(in)
+		v := report.Evaluate(in)
 		w := httptest.NewRecorder()
 		_ = report.Write(w, in, v)
 		f.t.Log("\n" + w.Body.String())
--- a/e2e/soak_test.go
+++ b/e2e/soak_test.go
@@ -58,7 +58,7 @@
 			t.Parallel()
 			f := start(t)
 			s := &soak{fleet: f, rng: rand.New(rand.NewPCG(n, 3)), busy: map[string]bool{}}
-			s.faults = fabric.Faults{DelayMS: map[string]float64{"dc1": 1, "dc2": 1}, BetweenMS: 0.5}
+			s.faults = fabric.Faults{DelayMS: map[string]float64{"dc1": 1, "dc2": 1}, LinkDelayMS: 0.5}
 			verdict := f.load(length+soakSettle, soakRate)
 			s.play(length)
 			kept(t, verdict())
@@ -123,13 +123,13 @@
 		s.network(d, "loss", func(f *fabric.Faults) { f.Loss, f.Duplicate, f.Reorder, f.JitterMS = 0.02, 0.03, 0.03, 3 },
 			func(f *fabric.Faults) { f.Loss, f.Duplicate, f.Reorder, f.JitterMS = 0, 0, 0, 0 })
 	case 7:
-		s.network(d, "split", func(f *fabric.Faults) { f.SplitDataCentres = []string{dc} }, func(f *fabric.Faults) { f.SplitDataCentres = nil })
+		s.network(d, "split", func(f *fabric.Faults) { f.PartitionedDataCentres = []string{dc} }, func(f *fabric.Faults) { f.PartitionedDataCentres = nil })
 	case 8:
-		s.network(d, "mute", func(f *fabric.Faults) { f.MuteDataCentres = []string{dc} }, func(f *fabric.Faults) { f.MuteDataCentres = nil })
+		s.network(d, "mute", func(f *fabric.Faults) { f.OutboundBlockedDataCentres = []string{dc} }, func(f *fabric.Faults) { f.OutboundBlockedDataCentres = nil })
 	case 9:
-		s.network(0, "break links", func(f *fabric.Faults) { f.BreakLinks = true }, func(f *fabric.Faults) { f.BreakLinks = false })
+		s.network(0, "break links", func(f *fabric.Faults) { f.ResetLinks = true }, func(f *fabric.Faults) { f.ResetLinks = false })
 	case 10:
-		s.network(d, "slow links", func(f *fabric.Faults) { f.BetweenMS = 80 }, func(f *fabric.Faults) { f.BetweenMS = 0.5 })
+		s.network(d, "slow links", func(f *fabric.Faults) { f.LinkDelayMS = 80 }, func(f *fabric.Faults) { f.LinkDelayMS = 0.5 })
 	case 11:
 		s.once("platform", func() { s.platformFault(d) })
 	case 12:
@@ -216,7 +216,7 @@
 // state, for all instances or one data centre.
 func (s *soak) platformFault(d time.Duration) {
 	listen := []string{"", s.helper(1, 1), s.helper(2, 1)}[s.rng.IntN(3)]
-	fault := []platform.Fault{{Down: true}, {SlowMS: 500}, {Stale: max(s.revision, 1)}}[s.rng.IntN(3)]
+	fault := []platform.Fault{{Down: true}, {SlowMS: 500}, {StaleRevision: max(s.revision, 1)}}[s.rng.IntN(3)]
 	fault.Listen = listen
 	var page platform.Page
 	if s.try("GET", s.fleet.platform()+"/v1/documents", nil, &page) {
@@ -252,16 +252,16 @@
 // its feeds open and silent.
 func (s *soak) backendFault(d time.Duration) {
 	c := []backend.Control{
-		{Service: "counter", Target: "counter-1-1", Lie: "failing"},
-		{Service: "certificate", Target: "certificate-1-1", Lie: "ok", Cold: true},
-		{Service: "alarm", Target: "alarm-1-1", Mute: true},
+		{Service: "counter", Target: "counter-1-1", StatusOverride: "failing"},
+		{Service: "certificate", Target: "certificate-1-1", StatusOverride: "ok", ColdStart: true},
+		{Service: "alarm", Target: "alarm-1-1", MuteFeeds: true},
 	}[s.rng.IntN(3)]
-	if c.Mute {
+	if c.MuteFeeds {
 		s.disturbed(d, "silent feeds")
 	}
 	s.send("PUT", s.backend()+"/control", c)
 	s.after(d, func() {
-		s.send("PUT", s.backend()+"/control", backend.Control{Service: c.Service, Target: c.Target, Lie: "true"})
+		s.send("PUT", s.backend()+"/control", backend.Control{Service: c.Service, Target: c.Target, StatusOverride: "true"})
 		s.busy["backend"] = false
 	})
 }
--- a/internal/standin/backend/backend.go
+++ b/internal/standin/backend/backend.go
@@ -38,15 +38,15 @@
 
 // Options configure a Group.
 type Options struct {
-	Services     []config.Service
-	DataCentre   string                   // only targets of this data centre; empty for all
-	Run          map[string]time.Duration // run time of a short request by service; default 20 ms
-	LongFactor   int                      // run time of a long request over that of a short one
-	Queue        int                      // requests that wait for a slot
-	FeedInterval time.Duration            // between two readings of a feed
-	DrainGrace   time.Duration            // from the start of a drain until open feeds are cut
-	ColdFor      time.Duration            // cold period after a cold start
-	Logger       *slog.Logger
+	Services      []config.Service
+	DataCentre    string                   // only targets of this data centre; empty for all
+	RunTime       map[string]time.Duration // run time of a short request by service; default 20 ms
+	LongRunFactor int                      // run time of a long request over that of a short one
+	QueueLimit    int                      // requests that wait for a slot
+	FeedInterval  time.Duration            // between two readings of a feed
+	DrainGrace    time.Duration            // from the start of a drain until open feeds are cut
+	ColdPeriod    time.Duration            // cold period after a cold start
+	Logger        *slog.Logger
 }
 
 // Group is a set of backend servers in one process.
--- a/internal/standin/backend/backend_test.go
+++ b/internal/standin/backend/backend_test.go
@@ -26,8 +26,8 @@
 	t.Helper()
 	g, err := Start(Options{
 		Services: []config.Service{{Name: "counter", Targets: []config.Target{{Name: "t", Address: netip.MustParseAddrPort(addr), Slots: 2}}}},
-		Run:      map[string]time.Duration{"counter": run}, LongFactor: 50, Queue: 1, FeedInterval: 50 * time.Millisecond,
-		DrainGrace: 100 * time.Millisecond, ColdFor: time.Second,
+		RunTime:  map[string]time.Duration{"counter": run}, LongRunFactor: 50, QueueLimit: 1, FeedInterval: 50 * time.Millisecond,
+		DrainGrace: 100 * time.Millisecond, ColdPeriod: time.Second,
 	})
 	assert.NilError(t, err)
 	t.Cleanup(g.Close)
@@ -71,9 +71,9 @@
 	assert.DeepEqual(t, got, map[codes.Code]int{codes.Content: 3, codes.ServiceUnavailable: 2, codes.NotFound: 1})
 	c := g.Counts().Targets["counter/t"]
 	assert.Equal(t, c.MaxRunning, 2)
-	assert.Equal(t, c.Runs, 3)
-	assert.Equal(t, c.Foreign, 1)
-	assert.Equal(t, len(g.Counts().Runs), 3)
+	assert.Equal(t, c.Executions, 3)
+	assert.Equal(t, c.WrongService, 1)
+	assert.Equal(t, len(g.Counts().Executions), 3)
 }
 
 // Guards against a cancellation or deadline that leaves the slot occupied.
@@ -101,8 +101,8 @@
 	c := g.Counts()
 	assert.Equal(t, c.Targets["counter/t"].Cancelled, 1)
 	assert.Equal(t, c.Targets["counter/t"].Expired, 1)
-	assert.Equal(t, c.Runs["counter.a.2.1"].Count, 1)
-	assert.Equal(t, c.Runs["counter.a.2.1"].Ended, 0)
+	assert.Equal(t, c.Executions["counter.a.2.1"].Count, 1)
+	assert.Equal(t, c.Executions["counter.a.2.1"].Ended, 0)
 }
 
 // Guards against a drain that the health endpoint does not report, or that
@@ -133,5 +133,5 @@
 	case <-time.After(2 * time.Second):
 		t.Fatal("the feed outlived the drain")
 	}
-	assert.Equal(t, g.Counts().Targets["counter/t"].FeedsCut, 1)
+	assert.Equal(t, g.Counts().Targets["counter/t"].FeedsClosedByDrain, 1)
 }
--- a/internal/standin/backend/control.go
+++ b/internal/standin/backend/control.go
@@ -23,11 +23,11 @@
 	// HealthLagMS lets the health endpoint report the past.
 	HealthLagMS *int `json:"health_lag_ms"`
 	// Lie is a status to report instead of the true one; "true" ends the lie.
-	Lie string `json:"lie"`
+	StatusOverride string `json:"lie"`
 	// Cold starts the cold period, in which requests take three times as long.
-	Cold bool `json:"cold"`
+	ColdStart bool `json:"cold"`
 	// Mute lets the feeds that are open now stay open and send nothing more.
-	Mute bool `json:"mute"`
+	MuteFeeds bool `json:"mute"`
 }
 
 func (s *Server) control(c Control) {
@@ -39,17 +39,17 @@
 	if c.HealthLagMS != nil {
 		s.lag = time.Duration(*c.HealthLagMS) * time.Millisecond
 	}
-	switch c.Lie {
+	switch c.StatusOverride {
 	case "":
 	case "true":
 		s.lie = ""
 	default:
-		s.lie = c.Lie
+		s.lie = c.StatusOverride
 	}
-	if c.Cold {
-		s.cold = time.Now().Add(s.group.opt.ColdFor)
+	if c.ColdStart {
+		s.cold = time.Now().Add(s.group.opt.ColdPeriod)
 	}
-	if c.Mute {
+	if c.MuteFeeds {
 		for _, o := range s.observers {
 			o.muted = true
 		}
@@ -129,7 +129,7 @@
 
 // Counts returns what all servers have counted.
 func (g *Group) Counts() wire.BackendCounts {
-	c := wire.BackendCounts{Targets: map[string]wire.TargetCounts{}, Runs: g.ledger.copy()}
+	c := wire.BackendCounts{Targets: map[string]wire.TargetCounts{}, Executions: g.ledger.copy()}
 	for _, s := range g.servers {
 		s.mu.Lock()
 		t := s.counts
--- a/internal/standin/backend/feeds.go
+++ b/internal/standin/backend/feeds.go
@@ -127,7 +127,7 @@
 		quiet := o.muted || s.state == Stopped
 		cut := s.state == Draining && time.Since(s.since) > s.group.opt.DrainGrace
 		if cut {
-			s.counts.FeedsCut++
+			s.counts.FeedsClosedByDrain++
 		}
 		s.mu.Unlock()
 		switch {
--- a/internal/standin/backend/handle.go
+++ b/internal/standin/backend/handle.go
@@ -93,7 +93,7 @@
 	s.mu.Lock()
 	s.counts.Requests++
 	if foreign {
-		s.counts.Foreign++
+		s.counts.WrongService++
 	}
 	s.mu.Unlock()
 	switch {
@@ -138,7 +138,7 @@
 		s.mu.Unlock()
 		return s.outcome(m, q, err)
 	}
-	if s.group.opt.Run[s.service] < separateAfter && !q.large {
+	if s.group.opt.RunTime[s.service] < separateAfter && !q.large {
 		finish(w.Message())
 		return
 	}
--- a/internal/standin/backend/server.go
+++ b/internal/standin/backend/server.go
@@ -122,12 +122,12 @@
 }
 
 func (s *Server) runTime(long bool) time.Duration {
-	d, ok := s.group.opt.Run[s.service]
+	d, ok := s.group.opt.RunTime[s.service]
 	if !ok {
 		d = 20 * time.Millisecond
 	}
 	if long {
-		d *= time.Duration(s.group.opt.LongFactor)
+		d *= time.Duration(s.group.opt.LongRunFactor)
 	}
 	s.mu.Lock()
 	if time.Now().Before(s.cold) {
@@ -147,7 +147,7 @@
 		s.mu.Unlock()
 		return nil
 	}
-	if len(s.queue) >= s.group.opt.Queue {
+	if len(s.queue) >= s.group.opt.QueueLimit {
 		s.counts.Shed++
 		s.mu.Unlock()
 		return errShed
@@ -173,7 +173,7 @@
 // start takes a slot; the caller holds s.mu.
 func (s *Server) start() {
 	s.running++
-	s.counts.Runs++
+	s.counts.Executions++
 	s.counts.MaxRunning = max(s.counts.MaxRunning, s.running)
 }
 
--- a/internal/standin/caller/caller.go
+++ b/internal/standin/caller/caller.go
@@ -28,7 +28,7 @@
 	CheckIn          = "check-in"
 	Certificate      = "certificate"
 	LargeCertificate = "large certificate"
-	Outcome          = "outcome query"
+	OutcomeQuery     = "outcome query"
 )
 
 // largeShare is the share of certificates that take long to produce.
@@ -51,23 +51,23 @@
 
 // Options configure a Caller.
 type Options struct {
-	User     string
-	Public   map[string]netip.Addr // public IP by data centre
-	Ports    map[string]uint16     // UDP port by service
-	Sources  []Source
-	Feeds    []FeedSource
-	Hosts    []string   // Uri-Host of the partners
-	Local    netip.Addr // first of the callers' own IPs
-	Callers  int        // callers by service and data centre
-	Duration time.Duration
-	Deadline time.Duration // for an answer, before retransmission is taken into account
+	User         string
+	PublicIPs    map[string]netip.Addr // public IP by data centre
+	Ports        map[string]uint16     // UDP port by service
+	Sources      []Source
+	Feeds        []FeedSource
+	PartnerHosts []string   // Uri-Host of the partners
+	FirstLocalIP netip.Addr // first of the callers' own IPs
+	Callers      int        // callers by service and data centre
+	Duration     time.Duration
+	Deadline     time.Duration // for an answer, before retransmission is taken into account
 	// AckTimeout is the transmission parameter ACK_TIMEOUT of CoAP; 0: 500 ms.
-	AckTimeout time.Duration
-	Refresh    time.Duration // of the registration of a feed
-	Silence    time.Duration // time without a reading after which a feed is silent
-	Burst      float64       // factor of the demand in a burst: 2 s in every 10 s; 0 or 1: steady
-	Zipf       float64       // exponent (above 1) of the demand over resources; 0: uniform
-	Seed       int64
+	AckTimeout      time.Duration
+	RefreshInterval time.Duration // of the registration of a feed
+	SilenceTimeout  time.Duration // time without a reading after which a feed is silent
+	BurstFactor     float64       // factor of the demand in a burst: 2 s in every 10 s; 0 or 1: steady
+	ZipfExponent    float64       // exponent (above 1) of the demand over resources; 0: uniform
+	Seed            int64
 }
 
 // Mix returns the sources of a user at a total of rate requests a second and
@@ -90,18 +90,18 @@
 }
 
 // Caller runs the mix of one user.
-type Caller struct {
+type Generator struct {
 	opt   Options
 	stats *stats
 	conns map[string][]*conn // by service
 }
 
 // New opens the connections of all callers.
-func New(ctx context.Context, opt Options) (*Caller, error) {
+func New(ctx context.Context, opt Options) (*Generator, error) {
 	if opt.AckTimeout == 0 {
 		opt.AckTimeout = shortAckTimeout
 	}
-	c := &Caller{opt: opt, stats: newStats(opt.User), conns: map[string][]*conn{}}
+	c := &Generator{opt: opt, stats: newStats(opt.User), conns: map[string][]*conn{}}
 	d := &dialer{tick: periodic.New(ctx.Done(), retransmitTick), ackTimeout: opt.AckTimeout}
 	services := map[string]bool{}
 	for _, s := range opt.Sources {
@@ -122,16 +122,16 @@
 	return c, nil
 }
 
-func (c *Caller) open(d *dialer, service string, count int, key string) error {
+func (c *Generator) open(d *dialer, service string, count int, key string) error {
 	var dcs []string
-	for dc := range c.opt.Public {
+	for dc := range c.opt.PublicIPs {
 		dcs = append(dcs, dc)
 	}
 	sort.Strings(dcs)
-	local := c.opt.Local
+	local := c.opt.FirstLocalIP
 	for _, dc := range dcs {
 		for i := range count {
-			to := netip.AddrPortFrom(c.opt.Public[dc], c.opt.Ports[service])
+			to := netip.AddrPortFrom(c.opt.PublicIPs[dc], c.opt.Ports[service])
 			cc, err := d.dial(local, to)
 			if err != nil {
 				return err
@@ -140,13 +140,13 @@
 			if key != service {
 				n.name += "f"
 			}
-			if len(c.opt.Hosts) > 0 {
-				n.host = c.opt.Hosts[i%len(c.opt.Hosts)]
+			if len(c.opt.PartnerHosts) > 0 {
+				n.host = c.opt.PartnerHosts[i%len(c.opt.PartnerHosts)]
 			}
 			c.conns[key] = append(c.conns[key], n)
 			local = local.Next()
 			if b := local.As4(); b[3] > 240 {
-				local = c.opt.Local
+				local = c.opt.FirstLocalIP
 			}
 		}
 	}
@@ -155,7 +155,7 @@
 
 // Run runs the mix for the duration, waits for the answers of all requests and
 // returns the counts.
-func (c *Caller) Run(ctx context.Context) wire.CallerResult {
+func (c *Generator) Run(ctx context.Context) wire.CallerResult {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var requests, feeds sync.WaitGroup
@@ -166,7 +166,7 @@
 				c: c, conn: conns[n%len(conns)], class: s.Class, service: s.Service,
 				path: fmt.Sprintf("%s%d", s.Path, n), number: uint64(1+i)<<32 + uint64(n),
 			}
-			c.stats.class(s.Class, func(k *wire.Class) { k.Started++ })
+			c.stats.class(s.Class, func(k *wire.ClassCounts) { k.Started++ })
 			feeds.Go(func() { f.run(ctx) })
 		}
 	}
@@ -185,11 +185,11 @@
 }
 
 // generate starts the operations of one source as a Poisson process.
-func (c *Caller) generate(ctx context.Context, s Source, index int64, all *sync.WaitGroup) {
+func (c *Generator) generate(ctx context.Context, s Source, index int64, all *sync.WaitGroup) {
 	rng := rand.New(rand.NewSource(c.opt.Seed + index))
 	choose := func(n uint64) uint64 { return uint64(rng.Int63n(int64(n))) }
-	if c.opt.Zipf > 1 {
-		zipf := rand.NewZipf(rng, c.opt.Zipf, 1, 1<<20)
+	if c.opt.ZipfExponent > 1 {
+		zipf := rand.NewZipf(rng, c.opt.ZipfExponent, 1, 1<<20)
 		choose = func(n uint64) uint64 { return zipf.Uint64() % n }
 	}
 	conns := slices.Clone(c.conns[s.Service])
@@ -197,8 +197,8 @@
 	next := began
 	for number := uint64(index+1) << 40; ; number++ {
 		rate := s.Rate
-		if c.opt.Burst > 1 && int(time.Since(began)/time.Second)%10 >= 8 {
-			rate *= c.opt.Burst
+		if c.opt.BurstFactor > 1 && int(time.Since(began)/time.Second)%10 >= 8 {
+			rate *= c.opt.BurstFactor
 		}
 		next = next.Add(time.Duration(rng.ExpFloat64() / rate * float64(time.Second)))
 		if next.Sub(began) > c.opt.Duration || !sleep(ctx, time.Until(next)) {
--- a/internal/standin/caller/caller_test.go
+++ b/internal/standin/caller/caller_test.go
@@ -35,11 +35,11 @@
 func startBackends(t *testing.T, ip string) *backend.Group {
 	t.Helper()
 	opt := backend.Options{
-		Run: map[string]time.Duration{}, LongFactor: 100, Queue: 50, FeedInterval: 100 * time.Millisecond,
-		DrainGrace: time.Second, ColdFor: time.Second,
+		RunTime: map[string]time.Duration{}, LongRunFactor: 100, QueueLimit: 50, FeedInterval: 100 * time.Millisecond,
+		DrainGrace: time.Second, ColdPeriod: time.Second,
 	}
 	for name, port := range ports {
-		opt.Run[name] = 2 * time.Millisecond
+		opt.RunTime[name] = 2 * time.Millisecond
 		opt.Services = append(opt.Services, config.Service{Name: ids.Service(name), Targets: []config.Target{{
 			Name: "t", Address: netip.AddrPortFrom(netip.MustParseAddr(ip), port), Slots: 2,
 		}}})
@@ -58,9 +58,9 @@
 	sources, feeds, err := Mix(user, 300, 6)
 	assert.NilError(t, err)
 	opt := Options{
-		User: user, Public: map[string]netip.Addr{"dc1": netip.MustParseAddr(ip)}, Ports: ports, Sources: sources, Feeds: feeds,
-		Local: netip.MustParseAddr("127.82.3.1"), Callers: 3, Duration: 1500 * time.Millisecond, Deadline: time.Second,
-		Refresh: 400 * time.Millisecond, Silence: time.Second, Zipf: 1.2, Seed: 7,
+		User: user, PublicIPs: map[string]netip.Addr{"dc1": netip.MustParseAddr(ip)}, Ports: ports, Sources: sources, Feeds: feeds,
+		FirstLocalIP: netip.MustParseAddr("127.82.3.1"), Callers: 3, Duration: 1500 * time.Millisecond, Deadline: time.Second,
+		RefreshInterval: 400 * time.Millisecond, SilenceTimeout: time.Second, ZipfExponent: 1.2, Seed: 7,
 	}
 	if change != nil {
 		change(&opt)
@@ -76,7 +76,7 @@
 	g := startBackends(t, "127.82.0.1")
 	for _, user := range []string{"board", "kelani"} {
 		r := runMix(t, user, "127.82.0.1", nil)
-		v := report.Judge(report.Input{Backends: []wire.BackendCounts{g.Counts()}, Callers: []wire.CallerResult{r}})
+		v := report.Evaluate(report.Input{Backends: []wire.BackendCounts{g.Counts()}, Callers: []wire.CallerResult{r}})
 		assert.Assert(t, v.OK(), "%s %v", v.Line(), v.Details)
 		assert.Equal(t, r.Feeds.Opened, 6)
 		assert.Equal(t, r.Feeds.Missing, 0)
@@ -131,8 +131,8 @@
 	s := httptest.NewServer(p)
 	t.Cleanup(s.Close)
 	opt := fabric.Options{
-		Platform: s.URL, Public: map[string]netip.Addr{"dc1": netip.MustParseAddr("127.82.2.1")},
-		Poll: 50 * time.Millisecond, Idle: time.Minute, Seed: 1,
+		PlatformURL: s.URL, PublicIPs: map[string]netip.Addr{"dc1": netip.MustParseAddr("127.82.2.1")},
+		PollInterval: 50 * time.Millisecond, IdleTimeout: time.Minute, Seed: 1,
 	}
 	for _, port := range ports {
 		opt.Ports = append(opt.Ports, port)
@@ -146,7 +146,7 @@
 	time.Sleep(200 * time.Millisecond)
 
 	r := runMix(t, "kelani", "127.82.2.1", nil)
-	v := report.Judge(report.Input{Backends: []wire.BackendCounts{g.Counts()}, Callers: []wire.CallerResult{r}})
+	v := report.Evaluate(report.Input{Backends: []wire.BackendCounts{g.Counts()}, Callers: []wire.CallerResult{r}})
 	assert.Assert(t, v.OK(), "%s %v", v.Line(), v.Details)
 	n := f.Counts()
 	assert.Assert(t, n.Lost > 0 && n.Duplicated > 0 && n.Reordered > 0, "%+v", n)
@@ -201,6 +201,6 @@
 	assert.Equal(t, seen["no token"], n+1, "each attempt asks for a token once")
 	assert.Equal(t, seen["refused"], 1)
 	assert.Equal(t, seen["unknown"], n, "no new run after an unknown outcome")
-	assert.Equal(t, r.Classes[Outcome].Started, n)
+	assert.Equal(t, r.Classes[OutcomeQuery].Started, n)
 	assert.Equal(t, len(r.Refused), 1)
 }
--- a/internal/standin/caller/feed.go
+++ b/internal/standin/caller/feed.go
@@ -26,7 +26,7 @@
 
 // feed is one open feed of a caller.
 type feed struct {
-	c       *Caller
+	c       *Generator
 	conn    *conn
 	class   string
 	service string
@@ -51,7 +51,7 @@
 func (f *feed) run(ctx context.Context) {
 	opt := f.c.opt
 	cancel := f.register(ctx)
-	refresh := time.Now().Add(time.Duration((0.5 + rand.Float64()) * float64(opt.Refresh)))
+	refresh := time.Now().Add(time.Duration((0.5 + rand.Float64()) * float64(opt.RefreshInterval)))
 	for sleep(ctx, feedCheck) {
 		f.mu.Lock()
 		kind, detail := "", f.ended
@@ -60,12 +60,12 @@
 			kind = wire.KindFeedEnded
 		case f.last.IsZero() || f.broken != nil:
 			kind = "not registered"
-		case time.Since(f.last) > opt.Silence:
-			kind, detail = wire.KindSilent, "no reading for "+opt.Silence.String()
+		case time.Since(f.last) > opt.SilenceTimeout:
+			kind, detail = wire.KindFeedSilent, "no reading for "+opt.SilenceTimeout.String()
 		}
 		if f.broken == nil && !f.last.IsZero() && kind != "" {
 			f.broken = &wire.Failure{ID: f.id(), Class: f.class, Kind: kind, Detail: detail, Start: f.last.UnixMilli()}
-			f.c.stats.feeds(func(n *wire.Feeds) { n.Breaks++ })
+			f.c.stats.feeds(func(n *wire.FeedCounts) { n.Breaks++ })
 		}
 		f.mu.Unlock()
 		switch {
@@ -75,7 +75,7 @@
 				cancel = f.register(ctx)
 			}
 		case time.Now().After(refresh):
-			refresh = time.Now().Add(opt.Refresh)
+			refresh = time.Now().Add(opt.RefreshInterval)
 			f.refresh(ctx)
 		}
 	}
@@ -134,7 +134,7 @@
 	m.SetToken(token)
 	m.SetObserve(0)
 	if f.conn.cc.WriteMessage(m) == nil {
-		f.c.stats.feeds(func(n *wire.Feeds) { n.Refreshes++ })
+		f.c.stats.feeds(func(n *wire.FeedCounts) { n.Refreshes++ })
 	}
 }
 
@@ -153,8 +153,8 @@
 	seq, err := wire.ParseReading(body, f.service, path.Base(f.path))
 	if err != nil {
 		now := time.Now().UnixMilli()
-		f.c.stats.fail(wire.Failure{ID: f.id(), Class: f.class, Kind: wire.KindCrossed, Detail: err.Error(), Start: now, End: now})
-		f.c.stats.class(f.class, func(k *wire.Class) { k.Wrong++ })
+		f.c.stats.fail(wire.Failure{ID: f.id(), Class: f.class, Kind: wire.KindWrongContent, Detail: err.Error(), Start: now, End: now})
+		f.c.stats.class(f.class, func(k *wire.ClassCounts) { k.WrongContent++ })
 		return
 	}
 	first := f.last.IsZero()
@@ -164,7 +164,7 @@
 		f.c.stats.fail(*f.broken)
 		f.broken = nil
 	}
-	f.c.stats.feeds(func(n *wire.Feeds) {
+	f.c.stats.feeds(func(n *wire.FeedCounts) {
 		n.Readings++
 		switch {
 		case first:
@@ -172,7 +172,7 @@
 		case seq == f.seq:
 			n.Repeated++
 		case seq < f.seq:
-			n.Older++
+			n.OutOfOrder++
 		case seq > f.seq+1:
 			n.Missing += int(seq - f.seq - 1)
 		}
--- a/internal/standin/caller/operation.go
+++ b/internal/standin/caller/operation.go
@@ -36,9 +36,9 @@
 // perform carries out an operation and counts its result. It sends the same
 // request again when no response arrives, follows 4.01 with the Echo option,
 // comes back after a 5.03, and never sends a new request after a 5.04.
-func (c *Caller) perform(ctx context.Context, conn *conn, op operation, number uint64) {
+func (c *Generator) perform(ctx context.Context, conn *conn, op operation, number uint64) {
 	began := time.Now()
-	c.stats.class(op.class, func(k *wire.Class) { k.Started++ })
+	c.stats.class(op.class, func(k *wire.ClassCounts) { k.Started++ })
 	id := wire.ID{Service: op.service, Caller: conn.name, Operation: number}
 	for id.Attempt = 1; ; id.Attempt++ {
 		a, err := c.attempt(ctx, conn, op, id)
@@ -47,14 +47,14 @@
 			c.failed(op, id, began, wire.KindLost, err.Error())
 		case a.code == codes.Content || a.code == codes.Changed:
 			if _, err := wire.Verify(a.body, op.service, id.String()); err != nil {
-				c.failed(op, id, began, wire.KindCrossed, err.Error())
+				c.failed(op, id, began, wire.KindWrongContent, err.Error())
 				break
 			}
-			c.stats.class(op.class, func(k *wire.Class) { k.OK++ })
+			c.stats.class(op.class, func(k *wire.ClassCounts) { k.OK++ })
 			c.stats.took(op.class, time.Since(began))
 		case a.code == codes.ServiceUnavailable && id.Attempt <= maxComebacks:
 			c.notRun(id, a)
-			c.stats.class(op.class, func(k *wire.Class) { k.Comebacks++ })
+			c.stats.class(op.class, func(k *wire.ClassCounts) { k.Retries++ })
 			if sleep(ctx, a.maxAge) {
 				continue
 			}
@@ -71,13 +71,13 @@
 	}
 }
 
-func (c *Caller) failed(op operation, id wire.ID, began time.Time, kind, detail string) {
-	c.stats.class(op.class, func(k *wire.Class) {
+func (c *Generator) failed(op operation, id wire.ID, began time.Time, kind, detail string) {
+	c.stats.class(op.class, func(k *wire.ClassCounts) {
 		switch kind {
 		case wire.KindLost:
 			k.Lost++
-		case wire.KindCrossed:
-			k.Wrong++
+		case wire.KindWrongContent:
+			k.WrongContent++
 		case wire.KindRefused:
 			k.Refused++
 		case wire.KindUnknown:
@@ -94,14 +94,14 @@
 
 // notRun records a refusal that says that the request has not run: 4.01, or
 // 5.03 with that payload. Any other 5.03 says only when to come back.
-func (c *Caller) notRun(id wire.ID, a answer) {
+func (c *Generator) notRun(id wire.ID, a answer) {
 	c.stats.refused(id.String(), a.code == codes.Unauthorized || string(a.body) == "not run")
 }
 
 // attempt sends one request until it has a final answer, and fetches all blocks
 // of the answer. The request is lost when the answer is not complete by its
 // deadline plus the CoAP transmission span.
-func (c *Caller) attempt(ctx context.Context, conn *conn, op operation, id wire.ID) (answer, error) {
+func (c *Generator) attempt(ctx context.Context, conn *conn, op operation, id wire.ID) (answer, error) {
 	deadline := c.opt.Deadline
 	if op.class == Certificate || op.class == LargeCertificate {
 		deadline *= certificateFactor
@@ -121,7 +121,7 @@
 		case err != nil:
 		case a.code == codes.ServiceUnavailable:
 			// Nothing ran for this block; the blocks before it stay valid.
-			c.stats.class(op.class, func(k *wire.Class) { k.Comebacks++ })
+			c.stats.class(op.class, func(k *wire.ClassCounts) { k.Retries++ })
 			q.block--
 			if !sleep(ctx, a.maxAge) {
 				err = eris.Wrapf(ctx.Err(), "block %d refused", q.block+1)
@@ -138,18 +138,18 @@
 
 // persist sends q until it has a final answer: again after a time-out, with the
 // same admission token if it has one, and with the Echo option after 4.01.
-func (c *Caller) persist(ctx context.Context, conn *conn, op operation, q *question) (answer, error) {
+func (c *Generator) persist(ctx context.Context, conn *conn, op operation, q *question) (answer, error) {
 	for echoes := 0; ; {
 		once, stop := context.WithTimeout(ctx, c.opt.Deadline+answerGrace)
 		a, err := conn.ask(once, *q)
 		stop()
 		switch {
 		case err != nil && ctx.Err() == nil && errors.Is(err, context.DeadlineExceeded):
-			c.stats.class(op.class, func(k *wire.Class) { k.Repeats++ })
+			c.stats.class(op.class, func(k *wire.ClassCounts) { k.Resends++ })
 		case err != nil:
 			return a, err
 		case a.code == codes.Unauthorized && len(a.echo) > 0 && echoes < maxEchoes:
-			c.stats.class(op.class, func(k *wire.Class) { k.Echoes++ })
+			c.stats.class(op.class, func(k *wire.ClassCounts) { k.EchoChallenges++ })
 			q.echo = a.echo
 			echoes++
 		default:
@@ -159,23 +159,23 @@
 }
 
 // outcome asks the service whether an operation was executed.
-func (c *Caller) outcome(ctx context.Context, conn *conn, op operation, id wire.ID) string {
-	ask := operation{class: Outcome, service: op.service, path: "/outcome"}
+func (c *Generator) outcome(ctx context.Context, conn *conn, op operation, id wire.ID) string {
+	ask := operation{class: OutcomeQuery, service: op.service, path: "/outcome"}
 	asked := wire.ID{Service: op.service, Caller: conn.name + "-q", Operation: id.Operation, Attempt: 1}
 	ctx, cancel := context.WithTimeout(ctx, c.opt.Deadline+c.opt.transmitSpan())
 	defer cancel()
-	c.stats.class(ask.class, func(k *wire.Class) { k.Started++ })
-	a, err := conn.ask(ctx, question{code: codes.GET, path: ask.path, id: asked.String(), op: id.Op()})
+	c.stats.class(ask.class, func(k *wire.ClassCounts) { k.Started++ })
+	a, err := conn.ask(ctx, question{code: codes.GET, path: ask.path, id: asked.String(), op: id.OperationID()})
 	if err != nil || a.code != codes.Content {
-		c.stats.class(ask.class, func(k *wire.Class) { k.Failed++ })
+		c.stats.class(ask.class, func(k *wire.ClassCounts) { k.Failed++ })
 		return "not told"
 	}
 	state, err := wire.Verify(a.body, op.service, asked.String())
 	if err != nil {
-		c.failed(ask, asked, time.Now(), wire.KindCrossed, err.Error())
+		c.failed(ask, asked, time.Now(), wire.KindWrongContent, err.Error())
 		return "not told"
 	}
-	c.stats.class(ask.class, func(k *wire.Class) { k.OK++ })
+	c.stats.class(ask.class, func(k *wire.ClassCounts) { k.OK++ })
 	return state
 }
 
--- a/internal/standin/caller/stats.go
+++ b/internal/standin/caller/stats.go
@@ -18,17 +18,17 @@
 
 func newStats(user string) *stats {
 	return &stats{
-		result: wire.CallerResult{User: user, Classes: map[string]*wire.Class{}},
+		result: wire.CallerResult{User: user, Classes: map[string]*wire.ClassCounts{}},
 		times:  map[string]*hdrhistogram.Histogram{},
 	}
 }
 
-func (s *stats) class(name string, change func(*wire.Class)) {
+func (s *stats) class(name string, change func(*wire.ClassCounts)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := s.result.Classes[name]
 	if c == nil {
-		c = &wire.Class{}
+		c = &wire.ClassCounts{}
 		s.result.Classes[name] = c
 	}
 	change(c)
@@ -61,7 +61,7 @@
 	*list = append(*list, id)
 }
 
-func (s *stats) feeds(change func(*wire.Feeds)) {
+func (s *stats) feeds(change func(*wire.FeedCounts)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(&s.result.Feeds)
--- a/internal/standin/fabric/fabric.go
+++ b/internal/standin/fabric/fabric.go
@@ -28,14 +28,14 @@
 
 // Options configure a Fabric.
 type Options struct {
-	Platform string                // base URL of the platform
-	Public   map[string]netip.Addr // public IP of each data centre
-	Ports    []uint16              // UDP port of each service
-	Links    []Link                // peer listeners that are reached through the fabric
-	Poll     time.Duration         // interval at which the list of instances is read
-	Idle     time.Duration         // time after which an unused caller socket is closed
-	Seed     uint64
-	Logger   *slog.Logger
+	PlatformURL  string                // base URL of the platform
+	PublicIPs    map[string]netip.Addr // public IP of each data centre
+	Ports        []uint16              // UDP port of each service
+	Links        []Link                // peer listeners that are reached through the fabric
+	PollInterval time.Duration         // interval at which the list of instances is read
+	IdleTimeout  time.Duration         // time after which an unused caller socket is closed
+	Seed         uint64
+	Logger       *slog.Logger
 }
 
 // Fabric forwards datagrams until its context ends.
@@ -93,7 +93,7 @@
 		}
 		f.expire(time.Now().Add(24 * time.Hour))
 	}()
-	for dc, ip := range f.opt.Public {
+	for dc, ip := range f.opt.PublicIPs {
 		for _, port := range f.opt.Ports {
 			c, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(ip, port)))
 			if err != nil {
@@ -109,7 +109,7 @@
 			return err
 		}
 	}
-	poll := time.NewTicker(f.opt.Poll)
+	poll := time.NewTicker(f.opt.PollInterval)
 	defer poll.Stop()
 	for {
 		f.refresh(ctx)
@@ -127,7 +127,7 @@
 func (f *Fabric) refresh(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, f.opt.Platform+"/v1/instances", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, f.opt.PlatformURL+"/v1/instances", nil)
 	if err != nil {
 		return
 	}
@@ -193,7 +193,7 @@
 	}
 	in = live[f.rng.IntN(len(live))]
 	if f.faults.cuts(in) {
-		f.counts.Cut++
+		f.counts.Blocked++
 		return in, to, false
 	}
 	return in, netip.AddrPortFrom(netip.MustParseAddr(in.CallerIP), port), true
@@ -232,7 +232,7 @@
 			f.counts.Stray++
 		}
 		if cut {
-			f.counts.Cut++
+			f.counts.Blocked++
 		}
 		r.used = time.Now()
 		f.mu.Unlock()
@@ -251,7 +251,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for k, r := range f.routes {
-		if now.Sub(r.used) > f.opt.Idle {
+		if now.Sub(r.used) > f.opt.IdleTimeout {
 			_ = r.up.Close()
 			delete(f.routes, k)
 		}
--- a/internal/standin/fabric/fabric_test.go
+++ b/internal/standin/fabric/fabric_test.go
@@ -47,8 +47,8 @@
 	t.Cleanup(s.Close)
 	public := netip.MustParseAddr("127.81.0.10")
 	f := New(Options{
-		Platform: s.URL, Public: map[string]netip.Addr{"dc1": public}, Ports: []uint16{port},
-		Poll: 20 * time.Millisecond, Idle: time.Minute, Seed: 1,
+		PlatformURL: s.URL, PublicIPs: map[string]netip.Addr{"dc1": public}, Ports: []uint16{port},
+		PollInterval: 20 * time.Millisecond, IdleTimeout: time.Minute, Seed: 1,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -89,7 +89,7 @@
 // Guards against faults that do not take effect or affect other instances.
 func TestFaults(t *testing.T) {
 	f, c := start(t, 5792)
-	f.SetFaults(Faults{CutInstances: []string{"a"}})
+	f.SetFaults(Faults{BlockedInstances: []string{"a"}})
 	answers := 0
 	for range 20 {
 		if r := exchange(c); r != "" {
@@ -145,20 +145,20 @@
 	}
 	far, near := dial("127.81.1.1"), dial("127.81.1.2")
 	assert.Assert(t, returns(far, time.Second) && returns(near, time.Second))
-	f.SetFaults(Faults{SplitDataCentres: []string{"dc2"}})
+	f.SetFaults(Faults{PartitionedDataCentres: []string{"dc2"}})
 	assert.Assert(t, !returns(far, 100*time.Millisecond))
 	assert.Assert(t, returns(near, time.Second))
-	f.SetFaults(Faults{BetweenMS: 30})
+	f.SetFaults(Faults{LinkDelayMS: 30})
 	began := time.Now()
 	assert.Assert(t, returns(far, time.Second), "the byte sent during the split arrives")
 	assert.Assert(t, returns(far, time.Second))
 	assert.Assert(t, time.Since(began) >= 30*time.Millisecond)
 	// One way: dc2 hears and is not heard.
-	f.SetFaults(Faults{MuteDataCentres: []string{"dc2"}})
+	f.SetFaults(Faults{OutboundBlockedDataCentres: []string{"dc2"}})
 	assert.Assert(t, !returns(far, 100*time.Millisecond))
 	f.SetFaults(Faults{})
 	assert.Assert(t, returns(far, time.Second), "the byte echoed meanwhile arrives")
-	f.SetFaults(Faults{BreakLinks: true})
+	f.SetFaults(Faults{ResetLinks: true})
 	_ = far.SetReadDeadline(time.Now().Add(time.Second))
 	_, err = io.Copy(io.Discard, far) // the echoes that were still under way
 	assert.NilError(t, err, "the link has not ended")
--- a/internal/standin/fabric/faults.go
+++ b/internal/standin/fabric/faults.go
@@ -16,24 +16,24 @@
 
 // Faults are applied to every datagram in both directions.
 type Faults struct {
-	Loss           float64            `json:"loss"`      // probability
-	Duplicate      float64            `json:"duplicate"` // probability
-	Reorder        float64            `json:"reorder"`   // probability
-	JitterMS       float64            `json:"jitter_ms"` // greatest extra delay
-	DelayMS        map[string]float64 `json:"delay_ms"`  // one way, between callers and a data centre
-	CutInstances   []string           `json:"cut_instances"`
-	CutDataCentres []string           `json:"cut_data_centres"`
+	Loss               float64            `json:"loss"`      // probability
+	Duplicate          float64            `json:"duplicate"` // probability
+	Reorder            float64            `json:"reorder"`   // probability
+	JitterMS           float64            `json:"jitter_ms"` // greatest extra delay
+	DelayMS            map[string]float64 `json:"delay_ms"`  // one way, between callers and a data centre
+	BlockedInstances   []string           `json:"cut_instances"`
+	BlockedDataCentres []string           `json:"cut_data_centres"`
 	// SplitDataCentres are cut off from all other data centres: their links stop.
-	SplitDataCentres []string `json:"split_data_centres"`
+	PartitionedDataCentres []string `json:"split_data_centres"`
 	// MuteDataCentres send nothing to other data centres, but hear from them.
-	MuteDataCentres []string `json:"mute_data_centres"`
+	OutboundBlockedDataCentres []string `json:"mute_data_centres"`
 	// BreakLinks ends the connections that are open between data centres.
-	BreakLinks bool    `json:"break_links"`
-	BetweenMS  float64 `json:"between_ms"` // one way, on links between data centres
+	ResetLinks  bool    `json:"break_links"`
+	LinkDelayMS float64 `json:"between_ms"` // one way, on links between data centres
 }
 
 func (f *Faults) cuts(in platform.Instance) bool {
-	return slices.Contains(f.CutInstances, in.ID) || slices.Contains(f.CutDataCentres, in.DataCentre)
+	return slices.Contains(f.BlockedInstances, in.ID) || slices.Contains(f.BlockedDataCentres, in.DataCentre)
 }
 
 // Counts are the datagrams seen so far.
@@ -43,7 +43,7 @@
 	Lost        int            `json:"lost"`
 	Duplicated  int            `json:"duplicated"`
 	Reordered   int            `json:"reordered"`
-	Cut         int            `json:"cut"`
+	Blocked     int            `json:"cut"`
 	NoInstance  int            `json:"no_instance"` // no live instance in the list
 	Stray       int            `json:"stray"`       // not from the service's address of a listed instance
 	Sockets     int            `json:"sockets"`     // upstream sockets opened
@@ -93,7 +93,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.faults = ft
-	if ft.BreakLinks {
+	if ft.ResetLinks {
 		close(f.breaking)
 		f.breaking = make(chan struct{})
 	}
--- a/internal/standin/fabric/links.go
+++ b/internal/standin/fabric/links.go
@@ -137,7 +137,7 @@
 	if a == b || a == "" {
 		return 0
 	}
-	return time.Duration(f.faults.BetweenMS * float64(time.Millisecond))
+	return time.Duration(f.faults.LinkDelayMS * float64(time.Millisecond))
 }
 
 // gate waits until the way from data centre a to b is open. It returns false
@@ -146,8 +146,8 @@
 	for {
 		f.mu.Lock()
 		split := a != b && a != "" &&
-			(slices.Contains(f.faults.SplitDataCentres, a) || slices.Contains(f.faults.SplitDataCentres, b) ||
-				slices.Contains(f.faults.MuteDataCentres, a))
+			(slices.Contains(f.faults.PartitionedDataCentres, a) || slices.Contains(f.faults.PartitionedDataCentres, b) ||
+				slices.Contains(f.faults.OutboundBlockedDataCentres, a))
 		f.mu.Unlock()
 		if !split {
 			return ctx.Err() == nil
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -23,7 +23,7 @@
 	// Down closes every connection without a response.
 	Down bool `json:"down"`
 	// Stale, unless 0, is the revision whose state is served.
-	Stale uint64 `json:"stale"`
+	StaleRevision uint64 `json:"stale"`
 	// SlowMS delays each response.
 	SlowMS int `json:"slow_ms"`
 }
@@ -135,7 +135,7 @@
 	timer := time.NewTimer(min(time.Duration(wait)*time.Second, maxWait))
 	defer timer.Stop()
 	for {
-		page, changed := p.docs.page(after, f.Stale)
+		page, changed := p.docs.page(after, f.StaleRevision)
 		if wait == 0 || len(page.Documents) > 0 {
 			writeJSON(w, page)
 			return
--- a/internal/standin/report/report.go
+++ b/internal/standin/report/report.go
@@ -54,19 +54,19 @@
 
 // Verdict holds the broken promises.
 type Verdict struct {
-	BrokenFlows   int
-	Crossed       int
-	Doubled       int
-	Lost          int
-	FalseRefusals int
-	CutByStop     int
+	BrokenFeeds         int
+	Misdelivered        int
+	DuplicateExecutions int
+	LostAnswers         int
+	FalseRefusals       int
+	FailedByPlannedStop int
 	// AllowedBreaks are feeds that broke once when an instance was killed and
 	// came back in time.
 	AllowedBreaks int
 	// Wasted are requests that were told to come back although they had run. No
 	// promise is broken: only idempotent requests are told so, and nothing is said
 	// of whether they ran. Their run served nobody.
-	Wasted int
+	WastedExecutions int
 	// LateWork is work given to a backend server more than 5 s into its drain,
 	// and feeds still open there at the end of its grace period.
 	LateWork int
@@ -80,7 +80,7 @@
 // Line returns the counts in one line.
 func (v *Verdict) Line() string {
 	return fmt.Sprintf("broken_flows=%d crossed=%d doubled=%d lost_answers=%d false_refusals=%d cut_by_planned_stop=%d",
-		v.BrokenFlows, v.Crossed, v.Doubled, v.Lost, v.FalseRefusals, v.CutByStop)
+		v.BrokenFeeds, v.Misdelivered, v.DuplicateExecutions, v.LostAnswers, v.FalseRefusals, v.FailedByPlannedStop)
 }
 
 func (v *Verdict) add(n *int, format string, args ...any) {
@@ -110,19 +110,19 @@
 }
 
 // Judge compares the counts with the promises.
-func Judge(in Input) Verdict {
+func Evaluate(in Input) Verdict {
 	var v Verdict
-	runs := map[string]wire.Run{}
+	runs := map[string]wire.ExecutionCounts{}
 	for _, b := range in.Backends {
-		maps.Copy(runs, b.Runs)
+		maps.Copy(runs, b.Executions)
 		for name, t := range b.Targets {
-			if t.Foreign > 0 {
-				v.Crossed += t.Foreign - 1
-				v.add(&v.Crossed, "crossed: %d requests of another service at %s", t.Foreign, name)
+			if t.WrongService > 0 {
+				v.Misdelivered += t.WrongService - 1
+				v.add(&v.Misdelivered, "crossed: %d requests of another service at %s", t.WrongService, name)
 			}
-			if n := t.LateWork + t.FeedsCut; n > 0 {
+			if n := t.LateWork + t.FeedsClosedByDrain; n > 0 {
 				v.LateWork += n - 1
-				v.add(&v.LateWork, "draining backend server %s: %d times new work late in the drain, %d feeds open at its end", name, t.LateWork, t.FeedsCut)
+				v.add(&v.LateWork, "draining backend server %s: %d times new work late in the drain, %d feeds open at its end", name, t.LateWork, t.FeedsClosedByDrain)
 			}
 		}
 	}
@@ -135,7 +135,7 @@
 		}
 		for _, id := range c.Deferred {
 			if runs[id].Count > 0 {
-				v.Wasted++
+				v.WastedExecutions++
 			}
 		}
 		v.judgeFailures(c.Failures, in.Events)
@@ -153,16 +153,16 @@
 }
 
 // judgeRuns counts operations that ran more than once although they must not.
-func (v *Verdict) judgeRuns(runs map[string]wire.Run) {
+func (v *Verdict) judgeRuns(runs map[string]wire.ExecutionCounts) {
 	ops := map[string]int{}
 	for s, r := range runs {
 		if id, err := wire.ParseID(s); err == nil && r.Post {
-			ops[id.Op()] += r.Count
+			ops[id.OperationID()] += r.Count
 		}
 	}
 	for _, op := range slices.Sorted(maps.Keys(ops)) {
 		if ops[op] > 1 {
-			v.add(&v.Doubled, "doubled: %s ran %d times", op, ops[op])
+			v.add(&v.DuplicateExecutions, "doubled: %s ran %d times", op, ops[op])
 		}
 	}
 }
@@ -178,19 +178,19 @@
 		what := fmt.Sprintf("%s %s %s from %d to %d: %s", f.Kind, f.Class, f.ID, f.Start, f.End, f.Detail)
 		cut := stop && len(kills) == 0
 		switch f.Kind {
-		case wire.KindCrossed:
-			v.add(&v.Crossed, "%s", what)
+		case wire.KindWrongContent:
+			v.add(&v.Misdelivered, "%s", what)
 			cut = false
 		case wire.KindLost:
-			v.add(&v.Lost, "%s", what)
-		case wire.KindFeedEnded, wire.KindSilent:
+			v.add(&v.LostAnswers, "%s", what)
+		case wire.KindFeedEnded, wire.KindFeedSilent:
 			feed := f.ID[:strings.LastIndex(f.ID, ".")]
 			unused := slices.IndexFunc(kills, func(at int64) bool { return !broke[allowed{feed, at}] })
 			if unused >= 0 && f.End != 0 && f.End-f.Start <= comeBack.Milliseconds() {
 				broke[allowed{feed, kills[unused]}] = true
 				v.AllowedBreaks++
 			} else {
-				v.add(&v.BrokenFlows, "%s", what)
+				v.add(&v.BrokenFeeds, "%s", what)
 			}
 		case wire.KindFailed:
 			v.Details = append(v.Details, what)
@@ -198,7 +198,7 @@
 			cut = false // true refusals under load; the share answered is judged instead
 		}
 		if cut {
-			v.add(&v.CutByStop, "cut by planned stop: %s", what)
+			v.add(&v.FailedByPlannedStop, "cut by planned stop: %s", what)
 		}
 	}
 }
@@ -241,35 +241,35 @@
 				continue
 			}
 			fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t\n", c.User, name, k.Started, k.OK, k.Refused,
-				k.Unknown, k.Lost, k.Wrong, k.Failed, k.Comebacks, k.Repeats, ms(k.P50), ms(k.P99), ms(k.Max))
+				k.Unknown, k.Lost, k.WrongContent, k.Failed, k.Retries, k.Resends, ms(k.P50), ms(k.P99), ms(k.Max))
 		}
 	}
 	fmt.Fprintln(t, "\nuser\tfeeds opened\treadings\tmissing\trepeated\tolder\trefreshes\tbreaks\t")
 	for _, c := range in.Callers {
 		f := c.Feeds
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", c.User, f.Opened, f.Readings, f.Missing, f.Repeated, f.Older, f.Refreshes, f.Breaks)
+		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", c.User, f.Opened, f.Readings, f.Missing, f.Repeated, f.OutOfOrder, f.Refreshes, f.Breaks)
 	}
 	fmt.Fprintln(t, "\nservice\trequests\truns\tshed\tcancelled\texpired\tforeign\tfeeds cut\tlate work\t")
 	sum := map[string]wire.TargetCounts{}
 	for _, b := range in.Backends {
 		for _, n := range b.Targets {
 			s := sum[n.Service]
-			s.Requests, s.Runs, s.Shed = s.Requests+n.Requests, s.Runs+n.Runs, s.Shed+n.Shed
-			s.Cancelled, s.Expired, s.Foreign = s.Cancelled+n.Cancelled, s.Expired+n.Expired, s.Foreign+n.Foreign
-			s.FeedsCut, s.LateWork = s.FeedsCut+n.FeedsCut, s.LateWork+n.LateWork
+			s.Requests, s.Executions, s.Shed = s.Requests+n.Requests, s.Executions+n.Executions, s.Shed+n.Shed
+			s.Cancelled, s.Expired, s.WrongService = s.Cancelled+n.Cancelled, s.Expired+n.Expired, s.WrongService+n.WrongService
+			s.FeedsClosedByDrain, s.LateWork = s.FeedsClosedByDrain+n.FeedsClosedByDrain, s.LateWork+n.LateWork
 			sum[n.Service] = s
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(sum)) {
 		s := sum[name]
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", name, s.Requests, s.Runs, s.Shed, s.Cancelled, s.Expired, s.Foreign, s.FeedsCut, s.LateWork)
+		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", name, s.Requests, s.Executions, s.Shed, s.Cancelled, s.Expired, s.WrongService, s.FeedsClosedByDrain, s.LateWork)
 	}
 	if err := t.Flush(); err != nil {
 		return eris.Wrap(err, "write table")
 	}
 	fmt.Fprintf(w, "\nallowed breaks: %d feeds whose last reading was between %s before and %s after the killing of an instance broke once and came back within %s\n",
 		v.AllowedBreaks, killBefore, killAfter, comeBack)
-	fmt.Fprintf(w, "wasted: %d requests were told to come back although they had run\n", v.Wasted)
+	fmt.Fprintf(w, "wasted: %d requests were told to come back although they had run\n", v.WastedExecutions)
 	for i, d := range v.Details {
 		if i == 40 {
 			fmt.Fprintf(w, "... and %d more\n", len(v.Details)-i)
--- a/internal/standin/report/report_test.go
+++ b/internal/standin/report/report_test.go
@@ -9,8 +9,8 @@
 	"arbutusdock.example/arbutusdock/internal/standin/wire"
 )
 
-func answered() map[string]*wire.Class {
-	return map[string]*wire.Class{"claim": {Started: 100, OK: 99}}
+func answered() map[string]*wire.ClassCounts {
+	return map[string]*wire.ClassCounts{"claim": {Started: 100, OK: 99}}
 }
 
 // Guards against a verdict that overlooks a broken promise, and against one
@@ -20,8 +20,8 @@
 	assert.NilError(t, err)
 	in := Input{Events: events}
 	in.Backends = []wire.BackendCounts{{
-		Targets: map[string]wire.TargetCounts{"counter/c1": {Service: "counter", Foreign: 2}},
-		Runs: map[string]wire.Run{
+		Targets: map[string]wire.TargetCounts{"counter/c1": {Service: "counter", WrongService: 2}},
+		Executions: map[string]wire.ExecutionCounts{
 			"counter.a.1.1": {Count: 1, Post: true}, "counter.a.1.2": {Count: 1, Post: true}, // two attempts of one claim
 			"counter.a.2.1": {Count: 3}, // a GET may run again
 		},
@@ -30,9 +30,9 @@
 		Classes: answered(),
 		Refused: []string{"counter.a.1.1", "counter.a.9.1"},
 		Failures: []wire.Failure{
-			{ID: "alarm.f.1.1", Class: "alarm feed", Kind: wire.KindSilent, Start: 19900, End: 24000}, // by the kill
-			{ID: "alarm.f.1.2", Class: "alarm feed", Kind: wire.KindSilent, Start: 24500, End: 26000}, // a second time
-			{ID: "alarm.f.2.1", Class: "alarm feed", Kind: wire.KindSilent, Start: 19900},             // never back
+			{ID: "alarm.f.1.1", Class: "alarm feed", Kind: wire.KindFeedSilent, Start: 19900, End: 24000}, // by the kill
+			{ID: "alarm.f.1.2", Class: "alarm feed", Kind: wire.KindFeedSilent, Start: 24500, End: 26000}, // a second time
+			{ID: "alarm.f.2.1", Class: "alarm feed", Kind: wire.KindFeedSilent, Start: 19900},             // never back
 			{ID: "alarm.f.3.1", Class: "alarm feed", Kind: wire.KindFeedEnded, Start: 12000, End: 12500},
 			{ID: "counter.a.3.1", Class: "claim", Kind: wire.KindUnknown, Start: 13000, End: 13100},
 			{ID: "counter.a.4.1", Class: "claim", Kind: wire.KindUnknown, Start: 20100, End: 20300},
@@ -40,7 +40,7 @@
 			{ID: "counter.a.6.1", Class: "claim", Kind: wire.KindLost, Start: 1000, End: 2000},
 		},
 	}}
-	v := Judge(in)
+	v := Evaluate(in)
 	assert.Equal(t, v.Line(), "broken_flows=3 crossed=2 doubled=1 lost_answers=1 false_refusals=1 cut_by_planned_stop=2")
 	assert.Equal(t, v.AllowedBreaks, 1)
 	assert.Assert(t, !v.OK())
@@ -52,21 +52,21 @@
 	events := []Event{{At: 10_000, Name: Kill}, {At: 10_500, Name: Kill}, {At: 30_000, Name: Kill}, {At: 50_000, Name: StopBegin, Note: "a"},
 		{At: 52_000, Name: StopBegin, Note: "b"}, {At: 53_000, Name: StopEnd, Note: "a"}, {At: 54_000, Name: StopEnd, Note: "b"}}
 	broken := func(start int64) wire.Failure {
-		return wire.Failure{ID: "alarm.f.1.1", Class: "alarm feed", Kind: wire.KindSilent, Start: start, End: start + 1000}
+		return wire.Failure{ID: "alarm.f.1.1", Class: "alarm feed", Kind: wire.KindFeedSilent, Start: start, End: start + 1000}
 	}
-	v := Judge(Input{Events: events, Callers: []wire.CallerResult{{Failures: []wire.Failure{broken(10_000), broken(11_500), broken(30_000)}}}})
+	v := Evaluate(Input{Events: events, Callers: []wire.CallerResult{{Failures: []wire.Failure{broken(10_000), broken(11_500), broken(30_000)}}}})
 	assert.Equal(t, v.AllowedBreaks, 3) // the first two overlap: one for each kill
-	assert.Equal(t, v.BrokenFlows, 0)
-	v = Judge(Input{Events: events, Callers: []wire.CallerResult{{Failures: []wire.Failure{broken(10_000), broken(11_500), broken(13_000)}}}})
-	assert.Equal(t, v.BrokenFlows, 1)
-	v = Judge(Input{Events: events, Callers: []wire.CallerResult{{Failures: []wire.Failure{{Class: "claim", Kind: wire.KindUnknown, Start: 50_500, End: 51_000}}}}})
-	assert.Equal(t, v.CutByStop, 1)
+	assert.Equal(t, v.BrokenFeeds, 0)
+	v = Evaluate(Input{Events: events, Callers: []wire.CallerResult{{Failures: []wire.Failure{broken(10_000), broken(11_500), broken(13_000)}}}})
+	assert.Equal(t, v.BrokenFeeds, 1)
+	v = Evaluate(Input{Events: events, Callers: []wire.CallerResult{{Failures: []wire.Failure{{Class: "claim", Kind: wire.KindUnknown, Start: 50_500, End: 51_000}}}}})
+	assert.Equal(t, v.FailedByPlannedStop, 1)
 }
 
 // Guards against a demo that passes because nothing was answered.
 func TestJudgeNeedsAnswers(t *testing.T) {
-	v := Judge(Input{Callers: []wire.CallerResult{{Classes: answered()}}})
+	v := Evaluate(Input{Callers: []wire.CallerResult{{Classes: answered()}}})
 	assert.Assert(t, v.OK(), "%v", v.Details)
-	v = Judge(Input{Callers: []wire.CallerResult{{Classes: map[string]*wire.Class{"claim": {Started: 100, OK: 50}}}}})
+	v = Evaluate(Input{Callers: []wire.CallerResult{{Classes: map[string]*wire.ClassCounts{"claim": {Started: 100, OK: 50}}}}})
 	assert.Assert(t, !v.OK())
 }
--- a/internal/standin/wire/wire.go
+++ b/internal/standin/wire/wire.go
@@ -22,7 +22,7 @@
 // Errors of Verify and ParseReading.
 var (
 	// ErrForeign means that the content belongs to another request or service.
-	ErrForeign = eris.New("content of another request or service")
+	ErrMismatch = eris.New("content of another request or service")
 	// ErrIncomplete means that the content is truncated or altered.
 	ErrIncomplete = eris.New("content incomplete or altered")
 )
@@ -42,7 +42,7 @@
 }
 
 // Op returns the id without the attempt.
-func (id ID) Op() string {
+func (id ID) OperationID() string {
 	return fmt.Sprintf("%s.%s.%d", id.Service, id.Caller, id.Operation)
 }
 
@@ -86,7 +86,7 @@
 	}
 	h := fields(string(line))
 	if h["service"] != service || h["id"] != id {
-		return "", eris.Wrapf(ErrForeign, "want service=%s id=%s, have %q", service, id, line)
+		return "", eris.Wrapf(ErrMismatch, "want service=%s id=%s, have %q", service, id, line)
 	}
 	if h["size"] != strconv.Itoa(len(body)) || h["sum"] != fmt.Sprintf("%016x", xxhash.Sum64(body)) {
 		return "", eris.Wrapf(ErrIncomplete, "%d bytes after %q", len(body), line)
@@ -110,7 +110,7 @@
 func ParseReading(payload []byte, service, feed string) (seq uint64, err error) {
 	h := fields(string(payload))
 	if h["service"] != service || h["feed"] != feed {
-		return 0, eris.Wrapf(ErrForeign, "want service=%s feed=%s, have %q", service, feed, payload)
+		return 0, eris.Wrapf(ErrMismatch, "want service=%s feed=%s, have %q", service, feed, payload)
 	}
 	seq, err = strconv.ParseUint(h["seq"], 10, 64)
 	if err != nil {
--- a/internal/standin/wire/wire_test.go
+++ b/internal/standin/wire/wire_test.go
@@ -23,7 +23,7 @@
 	assert.Equal(t, state, "ran")
 
 	_, err = Verify(c, "counter", other.String())
-	assert.Assert(t, errors.Is(err, ErrForeign), "%v", err)
+	assert.Assert(t, errors.Is(err, ErrMismatch), "%v", err)
 	_, err = Verify(c[:len(c)-1], "counter", id.String())
 	assert.Assert(t, errors.Is(err, ErrIncomplete), "%v", err)
 	c[len(c)-9] ^= 1
@@ -37,5 +37,5 @@
 	assert.NilError(t, err)
 	assert.Equal(t, seq, uint64(12))
 	_, err = ParseReading(Reading("alarm", "site-4", 12), "alarm", "site-5")
-	assert.Assert(t, errors.Is(err, ErrForeign))
+	assert.Assert(t, errors.Is(err, ErrMismatch))
 }
