--- a/cmd/standin/callers.go
+++ b/cmd/standin/callers.go
@@ -43,7 +43,7 @@
 	if err != nil {
 		return err
 	}
-	public, err := addresses(c.Public)
+	public, err := parseAddresses(c.Public)
 	if err != nil {
 		return err
 	}
@@ -80,14 +80,14 @@
 	var in report.Input
 	for _, b := range c.Backends {
 		var counts wire.BackendCounts
-		if err := read(b, "/counts", &counts); err != nil {
+		if err := readCounts(b, "/counts", &counts); err != nil {
 			return err
 		}
 		in.Backends = append(in.Backends, counts)
 	}
 	for _, f := range c.Callers {
 		var r wire.CallerResult
-		if err := read(f, "", &r); err != nil {
+		if err := readCounts(f, "", &r); err != nil {
 			return err
 		}
 		in.Callers = append(in.Callers, r)
@@ -107,13 +107,13 @@
 		return err
 	}
 	if !v.OK() {
-		return errBroken
+		return errGuaranteeBroken
 	}
 	return nil
 }
 
 // read decodes JSON from a file or from the path of a base URL.
-func read(source, path string, v any) error {
+func readCounts(source, path string, v any) error {
 	if !strings.HasPrefix(source, "http://") {
 		data, err := os.ReadFile(source)
 		if err != nil {
--- a/cmd/standin/generate.go
+++ b/cmd/standin/generate.go
@@ -37,26 +37,26 @@
 }
 
 // instance is one generated instance.
-type instance struct{ id, dc, ip, peer string }
+type instance struct{ id, dc, ip, peerAddr string }
 
-func (i instance) listen() string { return fmt.Sprintf("%s:%d", i.ip, peerPort) }
+func (i instance) peerListen() string { return fmt.Sprintf("%s:%d", i.ip, peerPort) }
 
 func (c *generateCmd) run() error {
 	if len(c.Targets) == 0 {
 		c.Targets = []string{"counter=15", "slip=4", "alarm=15", "certificate=4"}
 	}
-	if err := c.profiles(); err != nil {
+	if err := c.copyProfiles(); err != nil {
 		return err
 	}
 	for i, t := range c.Targets {
-		if err := c.service(i, t); err != nil {
+		if err := c.writeService(i, t); err != nil {
 			return err
 		}
 	}
-	return c.instances()
+	return c.writeInstances()
 }
 
-func (c *generateCmd) profiles() error {
+func (c *generateCmd) copyProfiles() error {
 	files, err := filepath.Glob(filepath.Join(c.Examples, "profile", "*.toml"))
 	if err != nil || len(files) == 0 {
 		return eris.Errorf("no profiles below %s (%v)", c.Examples, err)
@@ -66,7 +66,7 @@
 		if err != nil {
 			return eris.Wrap(err, "read profile")
 		}
-		if err := write(filepath.Join(c.Out, "documents", "profile", filepath.Base(f)), data); err != nil {
+		if err := writeFile(filepath.Join(c.Out, "documents", "profile", filepath.Base(f)), data); err != nil {
 			return err
 		}
 	}
@@ -74,13 +74,13 @@
 }
 
 // service writes the example document of a service with generated targets.
-func (c *generateCmd) service(index int, spec string) error {
+func (c *generateCmd) writeService(index int, spec string) error {
 	name, number, _ := strings.Cut(spec, "=")
 	var count int
 	if _, err := fmt.Sscan(number, &count); err != nil {
 		return eris.Wrapf(err, "%q: want name=count", spec)
 	}
-	doc, err := load(filepath.Join(c.Examples, "service", name+".toml"))
+	doc, err := loadTOML(filepath.Join(c.Examples, "service", name+".toml"))
 	if err != nil {
 		return err
 	}
@@ -97,56 +97,56 @@
 		}
 	}
 	doc["target"] = targets
-	return store(filepath.Join(c.Out, "documents", "service", name+".toml"), doc)
+	return writeTOML(filepath.Join(c.Out, "documents", "service", name+".toml"), doc)
 }
 
 // instances writes the settings of all instances, a list of them for scripts
 // (id, data centre, IP, peer address) and the links of the fabric.
-func (c *generateCmd) instances() error {
+func (c *generateCmd) writeInstances() error {
 	var all []instance
 	for dc := 1; dc <= c.DataCentres; dc++ {
 		for n := 1; n <= c.Instances; n++ {
 			all = append(all, instance{
 				id: fmt.Sprintf("dc%d-%d", dc, n), dc: fmt.Sprintf("dc%d", dc),
-				ip:   fmt.Sprintf("127.%d.%d.%d", c.Base, dc, n),
-				peer: fmt.Sprintf("127.%d.%d.%d:%d", c.Base+4, 100+dc, n, peerPort),
+				ip:       fmt.Sprintf("127.%d.%d.%d", c.Base, dc, n),
+				peerAddr: fmt.Sprintf("127.%d.%d.%d:%d", c.Base+4, 100+dc, n, peerPort),
 			})
 		}
 	}
 	var list, links strings.Builder
 	for _, in := range all {
-		doc, err := load(filepath.Join(c.Examples, "arbutusdockd.toml"))
+		doc, err := loadTOML(filepath.Join(c.Examples, "arbutusdockd.toml"))
 		if err != nil {
 			return err
 		}
-		merge(doc, "instance", map[string]any{"id": in.id, "data_centre": in.dc, "linger": c.Linger})
-		merge(doc, "service", map[string]any{"listen_ip": in.ip})
-		merge(doc, "peer", map[string]any{"listen": in.listen(), "advertise": in.peer})
-		merge(doc, "admin", map[string]any{"listen": fmt.Sprintf("%s:%d", in.ip, adminPort)})
-		merge(doc, "platform", map[string]any{"url": fmt.Sprintf("http://127.%d.%s.1:%d", c.Base+4, strings.TrimPrefix(in.dc, "dc"), platformPort)})
-		merge(doc, "tls", map[string]any{"ca": "../../keys/ca.crt", "certificate": "../../keys/" + in.id + ".crt", "key": "../../keys/" + in.id + ".key"})
-		merge(doc, "log", map[string]any{"level": "info"})
+		setValues(doc, "instance", map[string]any{"id": in.id, "data_centre": in.dc, "linger": c.Linger})
+		setValues(doc, "service", map[string]any{"listen_ip": in.ip})
+		setValues(doc, "peer", map[string]any{"listen": in.peerListen(), "advertise": in.peerAddr})
+		setValues(doc, "admin", map[string]any{"listen": fmt.Sprintf("%s:%d", in.ip, adminPort)})
+		setValues(doc, "platform", map[string]any{"url": fmt.Sprintf("http://127.%d.%s.1:%d", c.Base+4, strings.TrimPrefix(in.dc, "dc"), platformPort)})
+		setValues(doc, "tls", map[string]any{"ca": "../../keys/ca.crt", "certificate": "../../keys/" + in.id + ".crt", "key": "../../keys/" + in.id + ".key"})
+		setValues(doc, "log", map[string]any{"level": "info"})
 		doc["admission"] = map[string]any{"signing_key": 1, "key": []map[string]any{{"id": 1, "file": "../../keys/admission-1.key"}}}
 		var seeds []map[string]any
 		for _, s := range all {
 			if s.id != in.id {
-				seeds = append(seeds, map[string]any{"id": s.id, "data_centre": s.dc, "address": s.peer})
+				seeds = append(seeds, map[string]any{"id": s.id, "data_centre": s.dc, "address": s.peerAddr})
 			}
 		}
 		doc["seed"] = seeds
-		if err := store(filepath.Join(c.Out, "instances", in.id, "settings.toml"), doc); err != nil {
+		if err := writeTOML(filepath.Join(c.Out, "instances", in.id, "settings.toml"), doc); err != nil {
 			return err
 		}
-		fmt.Fprintf(&list, "%s %s %s %s\n", in.id, in.dc, in.ip, in.peer)
-		fmt.Fprintf(&links, "%s %s %s\n", in.dc, in.peer, in.listen())
+		fmt.Fprintf(&list, "%s %s %s %s\n", in.id, in.dc, in.ip, in.peerAddr)
+		fmt.Fprintf(&links, "%s %s %s\n", in.dc, in.peerAddr, in.peerListen())
 	}
-	if err := write(filepath.Join(c.Out, "links.txt"), []byte(links.String())); err != nil {
+	if err := writeFile(filepath.Join(c.Out, "links.txt"), []byte(links.String())); err != nil {
 		return err
 	}
-	return write(filepath.Join(c.Out, "instances.txt"), []byte(list.String()))
+	return writeFile(filepath.Join(c.Out, "instances.txt"), []byte(list.String()))
 }
 
-func merge(doc map[string]any, table string, values map[string]any) {
+func setValues(doc map[string]any, table string, values map[string]any) {
 	t, ok := doc[table].(map[string]any)
 	if !ok {
 		t = map[string]any{}
@@ -155,7 +155,7 @@
 	maps.Copy(t, values)
 }
 
-func load(file string) (map[string]any, error) {
+func loadTOML(file string) (map[string]any, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return nil, eris.Wrap(err, "read template")
@@ -164,15 +164,15 @@
 	return doc, eris.Wrapf(toml.Unmarshal(data, &doc), "parse %s", file)
 }
 
-func store(file string, doc map[string]any) error {
+func writeTOML(file string, doc map[string]any) error {
 	data, err := toml.Marshal(doc)
 	if err != nil {
 		return eris.Wrapf(err, "encode %s", file)
 	}
-	return write(file, data)
+	return writeFile(file, data)
 }
 
-func write(file string, data []byte) error {
+func writeFile(file string, data []byte) error {
 	if err := os.MkdirAll(filepath.Dir(file), 0o755); err != nil {
 		return eris.Wrap(err, "create directory")
 	}
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -37,7 +37,7 @@
 }
 
 // errBroken tells that a promise was broken; the report has been printed.
-var errBroken = errors.New("a promise was broken")
+var errGuaranteeBroken = errors.New("a promise was broken")
 
 func main() {
 	var a args
@@ -65,7 +65,7 @@
 		p.Fail("a subcommand is required")
 	}
 	if err != nil {
-		if !errors.Is(err, errBroken) {
+		if !errors.Is(err, errGuaranteeBroken) {
 			slog.Error("stand-in failed", "error", err)
 		}
 		os.Exit(1)
@@ -94,7 +94,7 @@
 }
 
 // addresses parses "name=IP" pairs.
-func addresses(pairs []string) (map[string]netip.Addr, error) {
+func parseAddresses(pairs []string) (map[string]netip.Addr, error) {
 	m := map[string]netip.Addr{}
 	for _, p := range pairs {
 		name, ip, _ := strings.Cut(p, "=")
--- a/cmd/standin/world.go
+++ b/cmd/standin/world.go
@@ -50,7 +50,7 @@
 	if err != nil {
 		return err
 	}
-	public, err := addresses(c.Public)
+	public, err := parseAddresses(c.Public)
 	if err != nil {
 		return err
 	}
@@ -141,7 +141,7 @@
 
 // document is the part of a service document that the stand-ins need. They do
 // not use the product's own parser, so that a fault there shows.
-type document struct {
+type serviceDocument struct {
 	Port   uint16 `toml:"port"`
 	Target []struct {
 		Name       string `toml:"name"`
@@ -163,7 +163,7 @@
 		if err != nil {
 			return nil, eris.Wrap(err, "read service document")
 		}
-		var d document
+		var d serviceDocument
 		if err := toml.Unmarshal(data, &d); err != nil {
 			return nil, eris.Wrapf(err, "service document %s", f)
 		}
--- a/internal/standin/backend/backend.go
+++ b/internal/standin/backend/backend.go
@@ -27,13 +27,13 @@
 	maxRetransmit = 4
 	// retransmitTick is the interval at which go-coap looks for messages to
 	// retransmit. Its default of 4 s is longer than ackTimeout.
-	retransmitTick = 50 * time.Millisecond
+	retransmitCheckInterval = 50 * time.Millisecond
 	// maxConnections is the limit of open feeds of one backend server.
-	maxConnections = 2000
+	maxFeeds = 2000
 	// sampleTick is the interval of the samples from which lagging health
 	// reports are taken.
-	sampleTick = 100 * time.Millisecond
-	samples    = 600
+	healthSampleInterval = 100 * time.Millisecond
+	maxHealthSamples     = 600
 )
 
 // Options configure a Group.
@@ -51,13 +51,13 @@
 
 // Group is a set of backend servers in one process.
 type Group struct {
-	opt     Options
-	epoch   time.Time
-	ledger  ledger
-	servers []*Server
-	done    chan struct{}
-	wait    sync.WaitGroup
-	stop    sync.Once
+	opt        Options
+	epoch      time.Time
+	executions executionCounter
+	servers    []*Server
+	done       chan struct{}
+	goroutines sync.WaitGroup
+	closeOnce  sync.Once
 }
 
 // Start opens a server for every target of the services.
@@ -65,8 +65,8 @@
 	if opt.Logger == nil {
 		opt.Logger = slog.Default()
 	}
-	g := &Group{opt: opt, epoch: time.Now(), done: make(chan struct{}), ledger: newLedger()}
-	tick := periodic.New(g.done, retransmitTick)
+	g := &Group{opt: opt, epoch: time.Now(), done: make(chan struct{}), executions: newExecutionCounter()}
+	tick := periodic.New(g.done, retransmitCheckInterval)
 	for _, svc := range opt.Services {
 		for _, t := range svc.Targets {
 			if opt.DataCentre != "" && string(t.DataCentre) != opt.DataCentre {
@@ -80,8 +80,8 @@
 			}
 			s.coap = udp.NewServer(
 				options.WithHandlerFunc(s.handle),
-				options.WithRequestMonitor(s.monitor),
-				options.WithProcessReceivedMessageFunc(inGoroutine),
+				options.WithRequestMonitor(s.filterMessage),
+				options.WithProcessReceivedMessageFunc(processInGoroutine),
 				options.WithBlockwise(false, 0, time.Second),
 				options.WithTransmission(1, ackTimeout, maxRetransmit),
 				options.WithPeriodicRunner(tick),
@@ -89,7 +89,7 @@
 				options.WithErrors(func(err error) { opt.Logger.Debug("coap", "target", t.Name, "error", err) }),
 			)
 			g.servers = append(g.servers, s)
-			g.wait.Go(func() {
+			g.goroutines.Go(func() {
 				if err := s.coap.Serve(l); err != nil {
 					opt.Logger.Error("serve", "target", t.Name, "error", err)
 				}
@@ -97,31 +97,31 @@
 			})
 		}
 	}
-	g.wait.Go(g.sample)
+	g.goroutines.Go(g.sampleHealth)
 	return g, nil
 }
 
 // Close stops all servers.
 func (g *Group) Close() {
-	g.stop.Do(func() { close(g.done) })
+	g.closeOnce.Do(func() { close(g.done) })
 	for _, s := range g.servers {
 		s.coap.Stop()
 	}
-	g.wait.Wait()
+	g.goroutines.Wait()
 }
 
 // Handler returns the HTTP interface: GET /health/<service>/<target>, PUT
 // /control and GET /counts.
 func (g *Group) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /health/{service}/{target}", g.health)
-	mux.HandleFunc("PUT /control", g.control)
-	mux.HandleFunc("GET /counts", g.counts)
+	mux.HandleFunc("GET /health/{service}/{target}", g.handleHealth)
+	mux.HandleFunc("PUT /control", g.handleControl)
+	mux.HandleFunc("GET /counts", g.handleCounts)
 	return mux
 }
 
-func (g *Group) sample() {
-	t := time.NewTicker(sampleTick)
+func (g *Group) sampleHealth() {
+	t := time.NewTicker(healthSampleInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -129,7 +129,7 @@
 			return
 		case now := <-t.C:
 			for _, s := range g.servers {
-				s.sample(now)
+				s.sampleHealth(now)
 			}
 		}
 	}
--- a/internal/standin/backend/backend_test.go
+++ b/internal/standin/backend/backend_test.go
@@ -120,7 +120,7 @@
 	assert.NilError(t, err)
 	time.Sleep(120 * time.Millisecond)
 	assert.Assert(t, g.Counts().Targets["counter/t"].Readings >= 1)
-	g.servers[0].control(Control{State: Draining})
+	g.servers[0].applyControl(Control{State: Draining})
 	resp, err := h.Client().Get(h.URL + "/health/counter/t")
 	assert.NilError(t, err)
 	defer resp.Body.Close()
--- a/internal/standin/backend/control.go
+++ b/internal/standin/backend/control.go
@@ -9,7 +9,7 @@
 )
 
 // sample is a health report as it was true at one time.
-type sample struct {
+type healthSample struct {
 	at     time.Time
 	status string
 	load   float64
@@ -30,24 +30,24 @@
 	MuteFeeds bool `json:"mute"`
 }
 
-func (s *Server) control(c Control) {
+func (s *Server) applyControl(c Control) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if c.State != "" && c.State != s.state {
-		s.state, s.since = c.State, time.Now()
+		s.state, s.stateSince = c.State, time.Now()
 	}
 	if c.HealthLagMS != nil {
-		s.lag = time.Duration(*c.HealthLagMS) * time.Millisecond
+		s.healthLag = time.Duration(*c.HealthLagMS) * time.Millisecond
 	}
 	switch c.StatusOverride {
 	case "":
 	case "true":
-		s.lie = ""
+		s.statusOverride = ""
 	default:
-		s.lie = c.StatusOverride
+		s.statusOverride = c.StatusOverride
 	}
 	if c.ColdStart {
-		s.cold = time.Now().Add(s.group.opt.ColdPeriod)
+		s.coldUntil = time.Now().Add(s.group.opt.ColdPeriod)
 	}
 	if c.MuteFeeds {
 		for _, o := range s.observers {
@@ -56,7 +56,7 @@
 	}
 }
 
-func (g *Group) control(w http.ResponseWriter, r *http.Request) {
+func (g *Group) handleControl(w http.ResponseWriter, r *http.Request) {
 	var c Control
 	if err := json.NewDecoder(r.Body).Decode(&c); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -65,7 +65,7 @@
 	found := false
 	for _, s := range g.servers {
 		if (c.Service == "" || c.Service == s.service) && (c.Target == "" || c.Target == string(s.target.Name)) {
-			s.control(c)
+			s.applyControl(c)
 			found = true
 		}
 	}
@@ -75,47 +75,47 @@
 }
 
 // current returns the true state; the caller holds s.mu.
-func (s *Server) current(now time.Time) sample {
+func (s *Server) currentHealth(now time.Time) healthSample {
 	status := map[State]string{Serving: "ok", Draining: "draining", Stopped: "failing"}[s.state]
-	return sample{at: now, status: status, load: min(1, float64(s.running)/float64(max(1, s.target.Slots)))}
+	return healthSample{at: now, status: status, load: min(1, float64(s.usedSlots)/float64(max(1, s.target.Slots)))}
 }
 
-func (s *Server) sample(now time.Time) {
+func (s *Server) sampleHealth(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.history = append(s.history, s.current(now))
-	if len(s.history) > samples {
-		s.history = s.history[len(s.history)-samples:]
+	s.healthHistory = append(s.healthHistory, s.currentHealth(now))
+	if len(s.healthHistory) > maxHealthSamples {
+		s.healthHistory = s.healthHistory[len(s.healthHistory)-maxHealthSamples:]
 	}
 }
 
 // report is what the health endpoint says: the state of lag ago, or a lie.
-func (s *Server) report(now time.Time) sample {
+func (s *Server) reportedHealth(now time.Time) healthSample {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r := s.current(now)
-	if s.lag > 0 {
-		for _, h := range s.history {
-			if h.at.After(now.Add(-s.lag)) {
+	r := s.currentHealth(now)
+	if s.healthLag > 0 {
+		for _, h := range s.healthHistory {
+			if h.at.After(now.Add(-s.healthLag)) {
 				break
 			}
 			r = h
 		}
 	}
-	if s.lie != "" {
-		r.status = s.lie
+	if s.statusOverride != "" {
+		r.status = s.statusOverride
 	}
 	return r
 }
 
-func (g *Group) health(w http.ResponseWriter, r *http.Request) {
+func (g *Group) handleHealth(w http.ResponseWriter, r *http.Request) {
 	for _, s := range g.servers {
 		if s.service != r.PathValue("service") || string(s.target.Name) != r.PathValue("target") {
 			continue
 		}
-		h := s.report(time.Now())
+		h := s.reportedHealth(time.Now())
 		s.mu.Lock()
-		silent := s.state == Stopped && s.lie == "" && s.lag == 0
+		silent := s.state == Stopped && s.statusOverride == "" && s.healthLag == 0
 		s.mu.Unlock()
 		if silent {
 			panic(http.ErrAbortHandler)
@@ -129,7 +129,7 @@
 
 // Counts returns what all servers have counted.
 func (g *Group) Counts() wire.BackendCounts {
-	c := wire.BackendCounts{Targets: map[string]wire.TargetCounts{}, Executions: g.ledger.copy()}
+	c := wire.BackendCounts{Targets: map[string]wire.TargetCounts{}, Executions: g.executions.snapshot()}
 	for _, s := range g.servers {
 		s.mu.Lock()
 		t := s.counts
@@ -140,7 +140,7 @@
 	return c
 }
 
-func (g *Group) counts(w http.ResponseWriter, _ *http.Request) {
+func (g *Group) handleCounts(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(g.Counts()) // the client has gone if this fails
 }
--- a/internal/standin/backend/feeds.go
+++ b/internal/standin/backend/feeds.go
@@ -15,20 +15,20 @@
 
 // maxFailedReadings is the number of unacknowledged readings in a row after
 // which a feed is closed.
-const maxFailedReadings = 3
+const maxFailedNotifications = 3
 
 // observer is one feed: the readings of a resource go to a peer.
 type observer struct {
 	key    string
 	feed   string
 	token  message.Token
-	cc     *client.Conn
+	conn   *client.Conn
 	cancel context.CancelFunc
 	opened time.Time
 	muted  bool // guarded by Server.mu: stays open, sends nothing more
 }
 
-func (q *request) feed() string {
+func (q *request) feedName() string {
 	if len(q.path) == 0 {
 		return ""
 	}
@@ -37,40 +37,40 @@
 
 // sequence returns the number of the reading that is current at now and the
 // time of the next one. It is the same on every server.
-func (s *Server) sequence(feed string, now time.Time) (seq uint64, next time.Time) {
+func (s *Server) sequenceAt(feed string, now time.Time) (seq uint64, next time.Time) {
 	interval := s.group.opt.FeedInterval
 	phase := time.Duration(xxhash.Sum64String(feed) % uint64(interval))
 	n := (now.Sub(s.group.epoch) + phase) / interval
 	return uint64(n), s.group.epoch.Add((n+1)*interval - phase)
 }
 
-func (s *Server) reading(feed string) []byte {
-	seq, _ := s.sequence(feed, time.Now())
+func (s *Server) currentReading(feed string) []byte {
+	seq, _ := s.sequenceAt(feed, time.Now())
 	return wire.Reading(s.service, feed, seq)
 }
 
 // maxAge is the time, in seconds, for which a reading is current.
-func (s *Server) maxAge() uint32 {
+func (s *Server) readingMaxAge() uint32 {
 	return uint32((3*s.group.opt.FeedInterval + time.Second - 1) / time.Second)
 }
 
-func (s *Server) register(w *responseWriter, q request) {
+func (s *Server) registerObserver(w *responseWriter, q request) {
 	cc := w.Conn()
 	ctx, cancel := context.WithCancel(cc.Context())
 	o := &observer{
-		key: cc.RemoteAddr().String() + "/" + string(q.token), feed: q.feed(), token: q.token, cc: cc, cancel: cancel, opened: time.Now(),
+		key: cc.RemoteAddr().String() + "/" + string(q.token), feed: q.feedName(), token: q.token, conn: cc, cancel: cancel, opened: time.Now(),
 	}
 	s.mu.Lock()
 	old := s.observers[o.key]
-	refuse := old == nil && (len(s.observers) >= maxConnections || s.state == Draining && time.Since(s.since) > s.group.opt.DrainGrace)
+	refuse := old == nil && (len(s.observers) >= maxFeeds || s.state == Draining && time.Since(s.stateSince) > s.group.opt.DrainGrace)
 	if refuse {
 		s.counts.Shed++
 	} else {
-		if s.state == Draining && time.Since(s.since) > lateWorkAfter && old == nil {
+		if s.state == Draining && time.Since(s.stateSince) > lateWorkThreshold && old == nil {
 			s.counts.LateWork++
 		}
 		if old != nil {
-			s.remove(old)
+			s.removeObserver(old)
 		} else {
 			s.counts.FeedsOpened++
 		}
@@ -79,27 +79,27 @@
 	s.mu.Unlock()
 	if refuse {
 		cancel()
-		s.respond(w.Message(), codes.ServiceUnavailable, nil, 0)
+		s.setResponse(w.Message(), codes.ServiceUnavailable, nil, 0)
 		w.Message().SetOptionUint32(message.MaxAge, 1)
 		return
 	}
-	seq, next := s.sequence(o.feed, time.Now())
-	s.respond(w.Message(), codes.Content, wire.Reading(s.service, o.feed, seq), 0)
+	seq, next := s.sequenceAt(o.feed, time.Now())
+	s.setResponse(w.Message(), codes.Content, wire.Reading(s.service, o.feed, seq), 0)
 	w.Message().SetObserve(uint32(seq & 0xffffff))
-	w.Message().SetOptionUint32(message.MaxAge, s.maxAge())
-	go s.push(ctx, o, next)
+	w.Message().SetOptionUint32(message.MaxAge, s.readingMaxAge())
+	go s.sendNotifications(ctx, o, next)
 }
 
-func (s *Server) deregister(peer string, token message.Token) {
+func (s *Server) deregisterObserver(peer string, token message.Token) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if o, ok := s.observers[peer+"/"+string(token)]; ok {
-		s.remove(o)
+		s.removeObserver(o)
 	}
 }
 
 // remove closes a feed; the caller holds s.mu.
-func (s *Server) remove(o *observer) {
+func (s *Server) removeObserver(o *observer) {
 	o.cancel()
 	if s.observers[o.key] == o {
 		delete(s.observers, o.key)
@@ -107,13 +107,13 @@
 }
 
 // push sends a confirmable notification for each reading until the feed ends.
-func (s *Server) push(ctx context.Context, o *observer, next time.Time) {
+func (s *Server) sendNotifications(ctx context.Context, o *observer, next time.Time) {
 	defer func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.remove(o)
+		s.removeObserver(o)
 	}()
-	for failed := 0; failed < maxFailedReadings; {
+	for failed := 0; failed < maxFailedNotifications; {
 		t := time.NewTimer(time.Until(next))
 		select {
 		case <-ctx.Done():
@@ -122,10 +122,10 @@
 		case <-t.C:
 		}
 		var seq uint64
-		seq, next = s.sequence(o.feed, time.Now())
+		seq, next = s.sequenceAt(o.feed, time.Now())
 		s.mu.Lock()
 		quiet := o.muted || s.state == Stopped
-		cut := s.state == Draining && time.Since(s.since) > s.group.opt.DrainGrace
+		cut := s.state == Draining && time.Since(s.stateSince) > s.group.opt.DrainGrace
 		if cut {
 			s.counts.FeedsClosedByDrain++
 		}
@@ -133,39 +133,39 @@
 		switch {
 		case quiet:
 		case cut:
-			s.group.opt.Logger.Warn("feed-cut", "target", s.target.Name, "feed", o.feed, "peer", o.cc.RemoteAddr(), "open_for", time.Since(o.opened))
-			_ = s.notify(ctx, o, codes.ServiceUnavailable, nil, seq) // the feed ends either way
+			s.group.opt.Logger.Warn("feed-cut", "target", s.target.Name, "feed", o.feed, "peer", o.conn.RemoteAddr(), "open_for", time.Since(o.opened))
+			_ = s.sendNotification(ctx, o, codes.ServiceUnavailable, nil, seq) // the feed ends either way
 			return
-		case s.notify(ctx, o, codes.Content, wire.Reading(s.service, o.feed, seq), seq) == nil:
+		case s.sendNotification(ctx, o, codes.Content, wire.Reading(s.service, o.feed, seq), seq) == nil:
 			failed = 0
-			s.count(func(c *wire.TargetCounts) { c.Readings++ })
+			s.updateCounts(func(c *wire.TargetCounts) { c.Readings++ })
 		default:
 			failed++
 		}
 	}
 }
 
-func (s *Server) notify(ctx context.Context, o *observer, code codes.Code, content []byte, seq uint64) error {
+func (s *Server) sendNotification(ctx context.Context, o *observer, code codes.Code, content []byte, seq uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, max(3*s.group.opt.FeedInterval, 3*ackTimeout))
 	defer cancel()
-	m := o.cc.AcquireMessage(ctx)
-	defer o.cc.ReleaseMessage(m)
+	m := o.conn.AcquireMessage(ctx)
+	defer o.conn.ReleaseMessage(m)
 	m.SetType(message.Confirmable)
-	m.SetMessageID(o.cc.GetMessageID())
+	m.SetMessageID(o.conn.GetMessageID())
 	m.SetToken(bytes.Clone(o.token))
-	s.respond(m, code, content, 0)
+	s.setResponse(m, code, content, 0)
 	if code == codes.Content {
 		m.SetObserve(uint32(seq & 0xffffff))
-		m.SetOptionUint32(message.MaxAge, s.maxAge())
+		m.SetOptionUint32(message.MaxAge, s.readingMaxAge())
 	}
-	k := exchange{peer: o.cc.RemoteAddr().String(), mid: m.MessageID()}
+	k := messageKey{peer: o.conn.RemoteAddr().String(), messageID: m.MessageID()}
 	s.mu.Lock()
-	s.notified[k] = o
+	s.notifications[k] = o
 	s.mu.Unlock()
 	defer func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		delete(s.notified, k)
+		delete(s.notifications, k)
 	}()
-	return o.cc.WriteMessage(m)
+	return o.conn.WriteMessage(m)
 }
--- a/internal/standin/backend/server.go
+++ b/internal/standin/backend/server.go
@@ -30,17 +30,17 @@
 
 // lateWorkAfter is the time after the start of a drain from which new work is
 // counted as late.
-const lateWorkAfter = 5 * time.Second
+const lateWorkThreshold = 5 * time.Second
 
 var (
-	errCancelled = errors.New("cancelled by RST")
-	errShed      = errors.New("no slot and no room in the queue")
+	errCancelled  = errors.New("cancelled by RST")
+	errOverloaded = errors.New("no slot and no room in the queue")
 )
 
 // exchange identifies a message of a peer.
-type exchange struct {
-	peer string
-	mid  int32
+type messageKey struct {
+	peer      string
+	messageID int32
 }
 
 // Server is one backend server.
@@ -50,39 +50,39 @@
 	target  config.Target
 	coap    *server.Server
 
-	mu        sync.Mutex
-	state     State
-	since     time.Time // start of state
-	cold      time.Time // end of the cold period
-	lie       string    // reported status instead of the true one
-	lag       time.Duration
-	history   []sample
-	running   int
-	queue     []chan struct{}
-	jobs      map[exchange]context.CancelCauseFunc
-	observers map[string]*observer
-	notified  map[exchange]*observer
-	counts    wire.TargetCounts
+	mu             sync.Mutex
+	state          State
+	stateSince     time.Time // start of state
+	coldUntil      time.Time // end of the cold period
+	statusOverride string    // reported status instead of the true one
+	healthLag      time.Duration
+	healthHistory  []healthSample
+	usedSlots      int
+	slotWaiters    []chan struct{}
+	cancelFuncs    map[messageKey]context.CancelCauseFunc
+	observers      map[string]*observer
+	notifications  map[messageKey]*observer
+	counts         wire.TargetCounts
 }
 
 func newServer(g *Group, service string, t config.Target) *Server {
 	return &Server{
-		group: g, service: service, target: t, state: Serving, since: time.Now(),
-		jobs: map[exchange]context.CancelCauseFunc{}, observers: map[string]*observer{},
-		notified: map[exchange]*observer{},
-		counts:   wire.TargetCounts{Service: service, DataCentre: string(t.DataCentre)},
+		group: g, service: service, target: t, state: Serving, stateSince: time.Now(),
+		cancelFuncs: map[messageKey]context.CancelCauseFunc{}, observers: map[string]*observer{},
+		notifications: map[messageKey]*observer{},
+		counts:        wire.TargetCounts{Service: service, DataCentre: string(t.DataCentre)},
 	}
 }
 
 // inGoroutine lets a slow request of a peer not delay its other messages. The
 // handler holds a lock per message id, so duplicates still run once only.
-func inGoroutine(r *pool.Message, cc *client.Conn, handler coapconfig.HandlerFunc[*client.Conn]) {
+func processInGoroutine(r *pool.Message, cc *client.Conn, handler coapconfig.HandlerFunc[*client.Conn]) {
 	go cc.ProcessReceivedMessageWithHandler(r, handler)
 }
 
 // monitor sees each message before go-coap does. An RST with the message id of
 // a request cancels it; an RST with that of a notification ends the feed.
-func (s *Server) monitor(cc *client.Conn, r *pool.Message) (drop bool, err error) {
+func (s *Server) filterMessage(cc *client.Conn, r *pool.Message) (drop bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.state == Stopped {
@@ -91,12 +91,12 @@
 	if r.Type() != message.Reset {
 		return false, nil
 	}
-	k := exchange{peer: cc.RemoteAddr().String(), mid: r.MessageID()}
-	if cancel, ok := s.jobs[k]; ok {
+	k := messageKey{peer: cc.RemoteAddr().String(), messageID: r.MessageID()}
+	if cancel, ok := s.cancelFuncs[k]; ok {
 		cancel(errCancelled)
 	}
-	if o, ok := s.notified[k]; ok {
-		s.remove(o)
+	if o, ok := s.notifications[k]; ok {
+		s.removeObserver(o)
 	}
 	return false, nil
 }
@@ -104,24 +104,24 @@
 // execute runs one request in a slot. It returns nil when the request ran to
 // its end.
 func (s *Server) execute(ctx context.Context, id wire.ID, post, long bool) error {
-	if err := s.acquire(ctx); err != nil {
+	if err := s.acquireSlot(ctx); err != nil {
 		return err
 	}
-	defer s.release()
-	s.group.ledger.begin(id, post)
-	d := s.runTime(long)
+	defer s.releaseSlot()
+	s.group.executions.countStart(id, post)
+	d := s.randomRunTime(long)
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-t.C:
-		s.group.ledger.end(id)
+		s.group.executions.countEnd(id)
 		return nil
 	case <-ctx.Done():
 		return context.Cause(ctx)
 	}
 }
 
-func (s *Server) runTime(long bool) time.Duration {
+func (s *Server) randomRunTime(long bool) time.Duration {
 	d, ok := s.group.opt.RunTime[s.service]
 	if !ok {
 		d = 20 * time.Millisecond
@@ -130,30 +130,30 @@
 		d *= time.Duration(s.group.opt.LongRunFactor)
 	}
 	s.mu.Lock()
-	if time.Now().Before(s.cold) {
+	if time.Now().Before(s.coldUntil) {
 		d *= 3
 	}
 	s.mu.Unlock()
 	return time.Duration(float64(d) * (0.8 + 0.4*rand.Float64()))
 }
 
-func (s *Server) acquire(ctx context.Context) error {
+func (s *Server) acquireSlot(ctx context.Context) error {
 	s.mu.Lock()
-	if s.state == Draining && time.Since(s.since) > lateWorkAfter {
+	if s.state == Draining && time.Since(s.stateSince) > lateWorkThreshold {
 		s.counts.LateWork++
 	}
-	if s.running < s.target.Slots {
-		s.start()
+	if s.usedSlots < s.target.Slots {
+		s.takeSlot()
 		s.mu.Unlock()
 		return nil
 	}
-	if len(s.queue) >= s.group.opt.QueueLimit {
+	if len(s.slotWaiters) >= s.group.opt.QueueLimit {
 		s.counts.Shed++
 		s.mu.Unlock()
-		return errShed
+		return errOverloaded
 	}
 	turn := make(chan struct{})
-	s.queue = append(s.queue, turn)
+	s.slotWaiters = append(s.slotWaiters, turn)
 	s.mu.Unlock()
 	select {
 	case <-turn:
@@ -162,28 +162,28 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if i := slices.Index(s.queue, turn); i >= 0 {
-		s.queue = slices.Delete(s.queue, i, i+1)
+	if i := slices.Index(s.slotWaiters, turn); i >= 0 {
+		s.slotWaiters = slices.Delete(s.slotWaiters, i, i+1)
 		s.counts.Shed++
-		return errShed // not run, whatever ended the wait
+		return errOverloaded // not run, whatever ended the wait
 	}
 	return nil // the slot was granted at the same moment
 }
 
 // start takes a slot; the caller holds s.mu.
-func (s *Server) start() {
-	s.running++
+func (s *Server) takeSlot() {
+	s.usedSlots++
 	s.counts.Executions++
-	s.counts.MaxRunning = max(s.counts.MaxRunning, s.running)
+	s.counts.MaxRunning = max(s.counts.MaxRunning, s.usedSlots)
 }
 
-func (s *Server) release() {
+func (s *Server) releaseSlot() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.running--
-	if len(s.queue) > 0 {
-		close(s.queue[0])
-		s.queue = s.queue[1:]
-		s.start()
+	s.usedSlots--
+	if len(s.slotWaiters) > 0 {
+		close(s.slotWaiters[0])
+		s.slotWaiters = s.slotWaiters[1:]
+		s.takeSlot()
 	}
 }
--- a/internal/standin/caller/caller.go
+++ b/internal/standin/caller/caller.go
@@ -32,7 +32,7 @@
 )
 
 // largeShare is the share of certificates that take long to produce.
-const largeShare = 0.02
+const largeCertificateShare = 0.02
 
 // Source is a stream of operations of one class.
 type Source struct {
@@ -93,36 +93,36 @@
 type Generator struct {
 	opt   Options
 	stats *stats
-	conns map[string][]*conn // by service
+	conns map[string][]*callerConn // by service
 }
 
 // New opens the connections of all callers.
 func New(ctx context.Context, opt Options) (*Generator, error) {
 	if opt.AckTimeout == 0 {
-		opt.AckTimeout = shortAckTimeout
+		opt.AckTimeout = defaultAckTimeout
 	}
-	c := &Generator{opt: opt, stats: newStats(opt.User), conns: map[string][]*conn{}}
-	d := &dialer{tick: periodic.New(ctx.Done(), retransmitTick), ackTimeout: opt.AckTimeout}
+	c := &Generator{opt: opt, stats: newStats(opt.User), conns: map[string][]*callerConn{}}
+	d := &dialer{retransmitRunner: periodic.New(ctx.Done(), retransmitCheckInterval), ackTimeout: opt.AckTimeout}
 	services := map[string]bool{}
 	for _, s := range opt.Sources {
 		services[s.Service] = true
 	}
 	for s := range services {
-		if err := c.open(d, s, opt.Callers, s); err != nil {
+		if err := c.openConns(d, s, opt.Callers, s); err != nil {
 			return nil, err
 		}
 	}
 	for _, s := range opt.Feeds {
 		// Feeds have connections of their own: go-coap skips half of its message
 		// ids whenever a confirmable notification comes close to them.
-		if err := c.open(d, s.Service, (s.Count+1)/2, "feed "+s.Service); err != nil {
+		if err := c.openConns(d, s.Service, (s.Count+1)/2, "feed "+s.Service); err != nil {
 			return nil, err
 		}
 	}
 	return c, nil
 }
 
-func (c *Generator) open(d *dialer, service string, count int, key string) error {
+func (c *Generator) openConns(d *dialer, service string, count int, key string) error {
 	var dcs []string
 	for dc := range c.opt.PublicIPs {
 		dcs = append(dcs, dc)
@@ -136,9 +136,9 @@
 			if err != nil {
 				return err
 			}
-			n := &conn{name: fmt.Sprintf("%s-%s-%d", c.opt.User, dc, len(c.conns[key])), cc: cc}
+			n := &callerConn{caller: fmt.Sprintf("%s-%s-%d", c.opt.User, dc, len(c.conns[key])), coap: cc}
 			if key != service {
-				n.name += "f"
+				n.caller += "f"
 			}
 			if len(c.opt.PartnerHosts) > 0 {
 				n.host = c.opt.PartnerHosts[i%len(c.opt.PartnerHosts)]
@@ -163,29 +163,29 @@
 		conns := c.conns["feed "+s.Service]
 		for n := range s.Count {
 			f := &feed{
-				c: c, conn: conns[n%len(conns)], class: s.Class, service: s.Service,
-				path: fmt.Sprintf("%s%d", s.Path, n), number: uint64(1+i)<<32 + uint64(n),
+				generator: c, conn: conns[n%len(conns)], class: s.Class, service: s.Service,
+				path: fmt.Sprintf("%s%d", s.Path, n), operation: uint64(1+i)<<32 + uint64(n),
 			}
-			c.stats.class(s.Class, func(k *wire.ClassCounts) { k.Started++ })
+			c.stats.updateClass(s.Class, func(k *wire.ClassCounts) { k.Started++ })
 			feeds.Go(func() { f.run(ctx) })
 		}
 	}
 	for i, s := range c.opt.Sources {
-		requests.Go(func() { c.generate(ctx, s, int64(i), &requests) })
+		requests.Go(func() { c.generateOperations(ctx, s, int64(i), &requests) })
 	}
 	requests.Wait()
 	cancel()
 	feeds.Wait()
 	for _, conns := range c.conns {
 		for _, n := range conns {
-			_ = n.cc.Close()
+			_ = n.coap.Close()
 		}
 	}
 	return c.stats.summary()
 }
 
 // generate starts the operations of one source as a Poisson process.
-func (c *Generator) generate(ctx context.Context, s Source, index int64, all *sync.WaitGroup) {
+func (c *Generator) generateOperations(ctx context.Context, s Source, index int64, all *sync.WaitGroup) {
 	rng := rand.New(rand.NewSource(c.opt.Seed + index))
 	choose := func(n uint64) uint64 { return uint64(rng.Int63n(int64(n))) }
 	if c.opt.ZipfExponent > 1 {
@@ -216,7 +216,7 @@
 			op.path, op.post = fmt.Sprintf("/passes/%d", choose(500)), true
 		case Certificate:
 			op.path = fmt.Sprintf("/certificates/%d", choose(200))
-			if rng.Float64() < largeShare {
+			if rng.Float64() < largeCertificateShare {
 				op.class, op.large = LargeCertificate, true
 				op.path = fmt.Sprintf("/certificates/large%d", choose(4))
 			}
--- a/internal/standin/caller/caller_test.go
+++ b/internal/standin/caller/caller_test.go
@@ -154,7 +154,7 @@
 
 // Guards against a caller that runs a claim anew after "outcome unknown", drops
 // the admission token, or does not come back after a 5.03.
-func TestCallerFollowsRefusals(t *testing.T) {
+func TestCallerHandlesRefusals(t *testing.T) {
 	var mu sync.Mutex
 	seen := map[string]int{} // requests by path and kind
 	handler := func(w *responsewriter.ResponseWriter[*client.Conn], r *pool.Message) {
--- a/internal/standin/caller/conn.go
+++ b/internal/standin/caller/conn.go
@@ -22,54 +22,56 @@
 	// shortAckTimeout is the transmission parameter of callers for which the
 	// options name none. A quarter of the default of RFC 7252 section 4.8, it lets
 	// a test see several retransmissions.
-	shortAckTimeout = 500 * time.Millisecond
-	maxRetransmit   = 4 // as in RFC 7252 section 4.8
+	defaultAckTimeout = 500 * time.Millisecond
+	maxRetransmit     = 4 // as in RFC 7252 section 4.8
 	// retransmitTick is the interval at which go-coap looks for messages to
 	// retransmit. Its default of 4 s is longer than the time to the first one.
-	retransmitTick = 50 * time.Millisecond
+	retransmitCheckInterval = 50 * time.Millisecond
 	// parallel is the number of requests of one connection at a time; go-coap's
 	// default of 1 would delay a request behind another one of the same caller.
-	parallel = 64
-	blockSZX = 6 // blocks of 1024 bytes
+	maxParallelRequests = 64
+	blockSZX            = 6 // blocks of 1024 bytes
 )
 
 // transmitSpan is MAX_TRANSMIT_SPAN: from the first transmission to the last.
-func (o *Options) transmitSpan() time.Duration { return o.AckTimeout * (1<<maxRetransmit - 1) * 3 / 2 }
+func (o *Options) maxTransmitSpan() time.Duration {
+	return o.AckTimeout * (1<<maxRetransmit - 1) * 3 / 2
+}
 
 // dialer opens the connections of one caller process.
 type dialer struct {
-	tick       periodic.Func
-	ackTimeout time.Duration
+	retransmitRunner periodic.Func
+	ackTimeout       time.Duration
 }
 
 func (d *dialer) dial(local netip.Addr, to netip.AddrPort) (*client.Conn, error) {
 	cc, err := udp.Dial(to.String(),
 		options.WithDialer(&net.Dialer{LocalAddr: &net.UDPAddr{IP: local.AsSlice()}}),
-		options.WithPeriodicRunner(d.tick),
-		options.WithTransmission(parallel, d.ackTimeout, maxRetransmit),
-		options.WithLimitClientParallelRequest(parallel),
-		options.WithLimitClientEndpointParallelRequest(parallel),
+		options.WithPeriodicRunner(d.retransmitRunner),
+		options.WithTransmission(maxParallelRequests, d.ackTimeout, maxRetransmit),
+		options.WithLimitClientParallelRequest(maxParallelRequests),
+		options.WithLimitClientEndpointParallelRequest(maxParallelRequests),
 		options.WithBlockwise(false, blockwise.SZX1024, time.Second),
-		options.WithReceivedMessageQueueSize(parallel),
+		options.WithReceivedMessageQueueSize(maxParallelRequests),
 		options.WithErrors(func(error) {}), // time-outs are counted by the operations
 	)
 	return cc, eris.Wrapf(err, "dial %s from %s", to, local)
 }
 
 // conn is one caller.
-type conn struct {
-	name string
-	host string // Uri-Host, which names the partner
-	cc   *client.Conn
+type callerConn struct {
+	caller string
+	host   string // Uri-Host, which names the partner
+	coap   *client.Conn
 }
 
 // question is one request as it is sent, possibly several times.
-type question struct {
-	code codes.Code
-	path string
-	id   string
-	echo []byte
-	op   string // operation whose outcome is asked for
+type request struct {
+	code      codes.Code
+	path      string
+	id        string
+	echo      []byte
+	outcomeOf string // operation whose outcome is asked for
 	// block is the number of the requested block of a large response. The
 	// library's own transfer is not used: it writes the request for a follow-up
 	// block into the ACK when the response was separate, and never retransmits it.
@@ -77,7 +79,7 @@
 }
 
 // answer is what the caller reads of a response.
-type answer struct {
+type response struct {
 	code   codes.Code
 	body   []byte
 	echo   []byte
@@ -87,12 +89,12 @@
 }
 
 // build returns a message for q; the connection assigns the message id.
-func (c *conn) build(ctx context.Context, q question) (*pool.Message, error) {
+func (c *callerConn) newMessage(ctx context.Context, q request) (*pool.Message, error) {
 	token, err := message.GetToken()
 	if err != nil {
 		return nil, eris.Wrap(err, "token")
 	}
-	m := c.cc.AcquireMessage(ctx)
+	m := c.coap.AcquireMessage(ctx)
 	m.SetCode(q.code)
 	m.SetToken(token)
 	if c.host != "" {
@@ -100,12 +102,12 @@
 	}
 	m.MustSetPath(q.path)
 	m.AddQuery("id=" + q.id)
-	if q.op != "" {
-		m.AddQuery("op=" + q.op)
+	if q.outcomeOf != "" {
+		m.AddQuery("op=" + q.outcomeOf)
 	}
 	if len(q.echo) > 0 {
 		if err := m.SetEcho(q.echo); err != nil {
-			c.cc.ReleaseMessage(m)
+			c.coap.ReleaseMessage(m)
 			return nil, eris.Wrap(err, "echo option")
 		}
 	}
@@ -119,20 +121,20 @@
 }
 
 // ask sends q and waits for its response.
-func (c *conn) ask(ctx context.Context, q question) (answer, error) {
-	m, err := c.build(ctx, q)
+func (c *callerConn) roundTrip(ctx context.Context, q request) (response, error) {
+	m, err := c.newMessage(ctx, q)
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
-	defer c.cc.ReleaseMessage(m)
-	r, err := c.cc.Do(m)
+	defer c.coap.ReleaseMessage(m)
+	r, err := c.coap.Do(m)
 	if err != nil {
-		return answer{}, eris.Wrapf(err, "request %s block %d", q.id, q.block)
+		return response{}, eris.Wrapf(err, "request %s block %d", q.id, q.block)
 	}
-	defer c.cc.ReleaseMessage(r)
-	a := answer{code: r.Code(), maxAge: 60 * time.Second}
+	defer c.coap.ReleaseMessage(r)
+	a := response{code: r.Code(), maxAge: 60 * time.Second}
 	if a.body, err = r.ReadBody(); err != nil {
-		return answer{}, eris.Wrapf(err, "body of %s", q.id)
+		return response{}, eris.Wrapf(err, "body of %s", q.id)
 	}
 	if e, err := r.Echo(); err == nil {
 		a.echo = bytes.Clone(e)
@@ -145,7 +147,7 @@
 	}
 	if v, err := r.GetOptionUint32(message.Block2); err == nil {
 		if v>>4 != q.block {
-			return answer{}, eris.Errorf("request %s: block %d instead of %d", q.id, v>>4, q.block)
+			return response{}, eris.Errorf("request %s: block %d instead of %d", q.id, v>>4, q.block)
 		}
 		a.more = v&8 != 0
 	}
--- a/internal/standin/caller/feed.go
+++ b/internal/standin/caller/feed.go
@@ -17,61 +17,61 @@
 
 const (
 	// registerFor bounds a registration or a refresh.
-	registerFor = 5 * time.Second
+	registerTimeout = 5 * time.Second
 	// registerPause is the wait between two attempts to register.
-	registerPause = 500 * time.Millisecond
+	registerRetryDelay = 500 * time.Millisecond
 	// feedCheck is the interval at which a feed is checked for silence.
-	feedCheck = 100 * time.Millisecond
+	feedCheckInterval = 100 * time.Millisecond
 )
 
 // feed is one open feed of a caller.
 type feed struct {
-	c       *Generator
-	conn    *conn
-	class   string
-	service string
-	path    string
-	number  uint64
+	generator *Generator
+	conn      *callerConn
+	class     string
+	service   string
+	path      string
+	operation uint64
 
-	mu      sync.Mutex
-	token   message.Token
-	attempt int
-	seq     uint64
-	last    time.Time // of the last reading; zero before the first
-	ended   string    // reason for which the feed ended
-	broken  *wire.Failure
+	mu          sync.Mutex
+	token       message.Token
+	attempt     int
+	maxSeq      uint64
+	lastReading time.Time // of the last reading; zero before the first
+	endReason   string    // reason for which the feed ended
+	openBreak   *wire.Failure
 }
 
 func (f *feed) id() string {
-	return wire.ID{Service: f.service, Caller: f.conn.name, Operation: f.number, Attempt: f.attempt}.String()
+	return wire.ID{Service: f.service, Caller: f.conn.caller, Operation: f.operation, Attempt: f.attempt}.String()
 }
 
 // run holds the feed open until ctx ends. It refreshes the registration, and
 // registers again when the feed has ended or is silent.
 func (f *feed) run(ctx context.Context) {
-	opt := f.c.opt
+	opt := f.generator.opt
 	cancel := f.register(ctx)
 	refresh := time.Now().Add(time.Duration((0.5 + rand.Float64()) * float64(opt.RefreshInterval)))
-	for sleep(ctx, feedCheck) {
+	for sleep(ctx, feedCheckInterval) {
 		f.mu.Lock()
-		kind, detail := "", f.ended
+		kind, detail := "", f.endReason
 		switch {
-		case f.ended != "":
+		case f.endReason != "":
 			kind = wire.KindFeedEnded
-		case f.last.IsZero() || f.broken != nil:
+		case f.lastReading.IsZero() || f.openBreak != nil:
 			kind = "not registered"
-		case time.Since(f.last) > opt.SilenceTimeout:
+		case time.Since(f.lastReading) > opt.SilenceTimeout:
 			kind, detail = wire.KindFeedSilent, "no reading for "+opt.SilenceTimeout.String()
 		}
-		if f.broken == nil && !f.last.IsZero() && kind != "" {
-			f.broken = &wire.Failure{ID: f.id(), Class: f.class, Kind: kind, Detail: detail, Start: f.last.UnixMilli()}
-			f.c.stats.feeds(func(n *wire.FeedCounts) { n.Breaks++ })
+		if f.openBreak == nil && !f.lastReading.IsZero() && kind != "" {
+			f.openBreak = &wire.Failure{ID: f.id(), Class: f.class, Kind: kind, Detail: detail, Start: f.lastReading.UnixMilli()}
+			f.generator.stats.updateFeeds(func(n *wire.FeedCounts) { n.Breaks++ })
 		}
 		f.mu.Unlock()
 		switch {
 		case kind != "":
 			cancel()
-			if sleep(ctx, registerPause) {
+			if sleep(ctx, registerRetryDelay) {
 				cancel = f.register(ctx)
 			}
 		case time.Now().After(refresh):
@@ -80,8 +80,8 @@
 		}
 	}
 	f.mu.Lock()
-	if f.broken != nil {
-		f.c.stats.fail(*f.broken) // never came back: End is 0
+	if f.openBreak != nil {
+		f.generator.stats.addFailure(*f.openBreak) // never came back: End is 0
 	}
 	f.mu.Unlock()
 	cancel()
@@ -91,21 +91,21 @@
 func (f *feed) register(ctx context.Context) (cancel func()) {
 	f.mu.Lock()
 	f.attempt++
-	f.ended = ""
+	f.endReason = ""
 	id := f.id()
 	f.mu.Unlock()
-	ctx, stop := context.WithTimeout(ctx, registerFor)
+	ctx, stop := context.WithTimeout(ctx, registerTimeout)
 	defer stop()
-	m, err := f.conn.build(ctx, question{code: codes.GET, path: f.path, id: id})
+	m, err := f.conn.newMessage(ctx, request{code: codes.GET, path: f.path, id: id})
 	if err != nil {
 		return func() {}
 	}
-	defer f.conn.cc.ReleaseMessage(m)
+	defer f.conn.coap.ReleaseMessage(m)
 	m.SetObserve(0)
 	f.mu.Lock()
 	f.token = bytes.Clone(m.Token())
 	f.mu.Unlock()
-	o, err := f.conn.cc.DoObserve(m, f.receive)
+	o, err := f.conn.coap.DoObserve(m, f.receive)
 	if err != nil {
 		return func() {} // the next check registers again
 	}
@@ -124,17 +124,17 @@
 	f.attempt++
 	id, token := f.id(), f.token
 	f.mu.Unlock()
-	ctx, stop := context.WithTimeout(ctx, registerFor)
+	ctx, stop := context.WithTimeout(ctx, registerTimeout)
 	defer stop()
-	m, err := f.conn.build(ctx, question{code: codes.GET, path: f.path, id: id})
+	m, err := f.conn.newMessage(ctx, request{code: codes.GET, path: f.path, id: id})
 	if err != nil {
 		return
 	}
-	defer f.conn.cc.ReleaseMessage(m)
+	defer f.conn.coap.ReleaseMessage(m)
 	m.SetToken(token)
 	m.SetObserve(0)
-	if f.conn.cc.WriteMessage(m) == nil {
-		f.c.stats.feeds(func(n *wire.FeedCounts) { n.Refreshes++ })
+	if f.conn.coap.WriteMessage(m) == nil {
+		f.generator.stats.updateFeeds(func(n *wire.FeedCounts) { n.Refreshes++ })
 	}
 }
 
@@ -147,35 +147,35 @@
 		return // of an earlier registration
 	}
 	if r.Code() != codes.Content || !r.HasOption(message.Observe) {
-		f.ended = r.Code().String()
+		f.endReason = r.Code().String()
 		return
 	}
 	seq, err := wire.ParseReading(body, f.service, path.Base(f.path))
 	if err != nil {
 		now := time.Now().UnixMilli()
-		f.c.stats.fail(wire.Failure{ID: f.id(), Class: f.class, Kind: wire.KindWrongContent, Detail: err.Error(), Start: now, End: now})
-		f.c.stats.class(f.class, func(k *wire.ClassCounts) { k.WrongContent++ })
+		f.generator.stats.addFailure(wire.Failure{ID: f.id(), Class: f.class, Kind: wire.KindWrongContent, Detail: err.Error(), Start: now, End: now})
+		f.generator.stats.updateClass(f.class, func(k *wire.ClassCounts) { k.WrongContent++ })
 		return
 	}
-	first := f.last.IsZero()
-	f.last = time.Now()
-	if f.broken != nil {
-		f.broken.End = f.last.UnixMilli()
-		f.c.stats.fail(*f.broken)
-		f.broken = nil
+	first := f.lastReading.IsZero()
+	f.lastReading = time.Now()
+	if f.openBreak != nil {
+		f.openBreak.End = f.lastReading.UnixMilli()
+		f.generator.stats.addFailure(*f.openBreak)
+		f.openBreak = nil
 	}
-	f.c.stats.feeds(func(n *wire.FeedCounts) {
+	f.generator.stats.updateFeeds(func(n *wire.FeedCounts) {
 		n.Readings++
 		switch {
 		case first:
 			n.Opened++
-		case seq == f.seq:
+		case seq == f.maxSeq:
 			n.Repeated++
-		case seq < f.seq:
+		case seq < f.maxSeq:
 			n.OutOfOrder++
-		case seq > f.seq+1:
-			n.Missing += int(seq - f.seq - 1)
+		case seq > f.maxSeq+1:
+			n.Missing += int(seq - f.maxSeq - 1)
 		}
 	})
-	f.seq = max(f.seq, seq)
+	f.maxSeq = max(f.maxSeq, seq)
 }
--- a/internal/standin/caller/stats.go
+++ b/internal/standin/caller/stats.go
@@ -11,19 +11,19 @@
 
 // stats collects the counts of one caller process.
 type stats struct {
-	mu     sync.Mutex
-	result wire.CallerResult
-	times  map[string]*hdrhistogram.Histogram // microseconds, by class
+	mu        sync.Mutex
+	result    wire.CallerResult
+	latencies map[string]*hdrhistogram.Histogram // microseconds, by class
 }
 
 func newStats(user string) *stats {
 	return &stats{
-		result: wire.CallerResult{User: user, Classes: map[string]*wire.ClassCounts{}},
-		times:  map[string]*hdrhistogram.Histogram{},
+		result:    wire.CallerResult{User: user, Classes: map[string]*wire.ClassCounts{}},
+		latencies: map[string]*hdrhistogram.Histogram{},
 	}
 }
 
-func (s *stats) class(name string, change func(*wire.ClassCounts)) {
+func (s *stats) updateClass(name string, change func(*wire.ClassCounts)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := s.result.Classes[name]
@@ -34,24 +34,24 @@
 	change(c)
 }
 
-func (s *stats) took(class string, d time.Duration) {
+func (s *stats) recordLatency(class string, d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h := s.times[class]
+	h := s.latencies[class]
 	if h == nil {
 		h = hdrhistogram.New(1, int64(2*time.Minute/time.Microsecond), 3)
-		s.times[class] = h
+		s.latencies[class] = h
 	}
 	_ = h.RecordValue(d.Microseconds()) // longer than the range cannot occur: every operation is bounded
 }
 
-func (s *stats) fail(f wire.Failure) {
+func (s *stats) addFailure(f wire.Failure) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.result.Failures = append(s.result.Failures, f)
 }
 
-func (s *stats) refused(id string, notRun bool) {
+func (s *stats) addRefusal(id string, notRun bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list := &s.result.Deferred
@@ -61,7 +61,7 @@
 	*list = append(*list, id)
 }
 
-func (s *stats) feeds(change func(*wire.FeedCounts)) {
+func (s *stats) updateFeeds(change func(*wire.FeedCounts)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(&s.result.Feeds)
@@ -71,7 +71,7 @@
 func (s *stats) summary() wire.CallerResult {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for name, h := range s.times {
+	for name, h := range s.latencies {
 		c := s.result.Classes[name]
 		c.P50, c.P90, c.P99, c.Max = h.ValueAtQuantile(50), h.ValueAtQuantile(90), h.ValueAtQuantile(99), h.Max()
 	}
--- a/internal/standin/fabric/fabric.go
+++ b/internal/standin/fabric/fabric.go
@@ -20,10 +20,10 @@
 )
 
 const (
-	maxDatagram = 64 << 10
+	maxDatagramSize = 64 << 10
 	// socketBuffer keeps bursts of several thousand datagrams, so that the only
 	// losses are those asked for.
-	socketBuffer = 4 << 20
+	socketBufferSize = 4 << 20
 )
 
 // Options configure a Fabric.
@@ -40,16 +40,16 @@
 
 // Fabric forwards datagrams until its context ends.
 type Fabric struct {
-	opt    Options
-	mu     sync.Mutex
-	live   map[string][]platform.Instance // by data centre
-	byIP   map[netip.Addr]platform.Instance
-	faults Faults
+	opt           Options
+	mu            sync.Mutex
+	liveInstances map[string][]platform.Instance // by data centre
+	instanceByIP  map[netip.Addr]platform.Instance
+	faults        Faults
 	// breaking is closed, and replaced, when links between data centres are broken.
-	breaking chan struct{}
-	counts   Counts
-	rng      *rand.Rand
-	routes   map[routeKey]*route
+	linkReset chan struct{}
+	counts    Counts
+	rng       *rand.Rand
+	routes    map[routeKey]*route
 }
 
 // routeKey identifies a caller at a public address.
@@ -61,11 +61,11 @@
 // route is the upstream socket of one caller: the instances see the caller's
 // own IP and one stable port, and their replies leave from the public address.
 type route struct {
-	key    routeKey
-	dc     string
-	up     *net.UDPConn
-	public *net.UDPConn
-	used   time.Time // guarded by Fabric.mu
+	key      routeKey
+	dc       string
+	upstream *net.UDPConn
+	public   *net.UDPConn
+	lastUsed time.Time // guarded by Fabric.mu
 }
 
 // New returns a fabric that is not running yet.
@@ -74,13 +74,13 @@
 		opt.Logger = slog.Default()
 	}
 	return &Fabric{
-		opt:      opt,
-		live:     map[string][]platform.Instance{},
-		byIP:     map[netip.Addr]platform.Instance{},
-		counts:   Counts{Instances: map[string]int{}},
-		breaking: make(chan struct{}),
-		rng:      rand.New(rand.NewPCG(opt.Seed, opt.Seed)),
-		routes:   map[routeKey]*route{},
+		opt:           opt,
+		liveInstances: map[string][]platform.Instance{},
+		instanceByIP:  map[netip.Addr]platform.Instance{},
+		counts:        Counts{Instances: map[string]int{}},
+		linkReset:     make(chan struct{}),
+		rng:           rand.New(rand.NewPCG(opt.Seed, opt.Seed)),
+		routes:        map[routeKey]*route{},
 	}
 }
 
@@ -91,7 +91,7 @@
 		for _, c := range sockets {
 			_ = c.Close()
 		}
-		f.expire(time.Now().Add(24 * time.Hour))
+		f.closeIdleRoutes(time.Now().Add(24 * time.Hour))
 	}()
 	for dc, ip := range f.opt.PublicIPs {
 		for _, port := range f.opt.Ports {
@@ -99,21 +99,21 @@
 			if err != nil {
 				return eris.Wrapf(err, "listen on public address of data centre %s", dc)
 			}
-			_ = c.SetReadBuffer(socketBuffer) // the kernel may grant less
+			_ = c.SetReadBuffer(socketBufferSize) // the kernel may grant less
 			sockets = append(sockets, c)
-			go f.receive(c, dc)
+			go f.forwardRequests(c, dc)
 		}
 	}
 	for _, l := range f.opt.Links {
-		if err := f.carry(ctx, l); err != nil {
+		if err := f.serveLink(ctx, l); err != nil {
 			return err
 		}
 	}
 	poll := time.NewTicker(f.opt.PollInterval)
 	defer poll.Stop()
 	for {
-		f.refresh(ctx)
-		f.expire(time.Now())
+		f.refreshInstances(ctx)
+		f.closeIdleRoutes(time.Now())
 		select {
 		case <-ctx.Done():
 			return nil
@@ -124,7 +124,7 @@
 
 // refresh reads the list of instances. The last list stays in use while the
 // platform does not respond.
-func (f *Fabric) refresh(ctx context.Context) {
+func (f *Fabric) refreshInstances(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, f.opt.PlatformURL+"/v1/instances", nil)
@@ -149,33 +149,33 @@
 			f.opt.Logger.Warn("instance ignored", "instance", in.ID, "caller_ip", in.CallerIP)
 			continue
 		}
-		f.byIP[ip] = in
+		f.instanceByIP[ip] = in
 		if !in.Leaving {
 			live[in.DataCentre] = append(live[in.DataCentre], in)
 		}
 	}
-	f.live = live
+	f.liveInstances = live
 }
 
 // receive forwards the datagrams of callers that arrive at one public address.
-func (f *Fabric) receive(c *net.UDPConn, dc string) {
+func (f *Fabric) forwardRequests(c *net.UDPConn, dc string) {
 	public := c.LocalAddr().(*net.UDPAddr).AddrPort()
-	buf := make([]byte, maxDatagram)
+	buf := make([]byte, maxDatagramSize)
 	for {
 		n, caller, err := c.ReadFromUDPAddrPort(buf)
 		if err != nil {
 			return
 		}
 		caller = netip.AddrPortFrom(caller.Addr().Unmap(), caller.Port())
-		r, err := f.route(routeKey{caller: caller, public: public}, dc, c)
+		r, err := f.routeFor(routeKey{caller: caller, public: public}, dc, c)
 		if err != nil {
 			f.opt.Logger.Error("no upstream socket", "caller", caller, "error", err)
 			continue
 		}
-		f.forward(dc, buf[:n], func(datagram []byte) {
-			if in, to, ok := f.pick(dc, public.Port()); ok {
-				if _, err := r.up.WriteToUDPAddrPort(datagram, to); err == nil {
-					f.count(func(c *Counts) { c.ToInstances++; c.Instances[in.ID]++ })
+		f.applyFaults(dc, buf[:n], func(datagram []byte) {
+			if in, to, ok := f.pickInstance(dc, public.Port()); ok {
+				if _, err := r.upstream.WriteToUDPAddrPort(datagram, to); err == nil {
+					f.updateCounts(func(c *Counts) { c.ToInstances++; c.Instances[in.ID]++ })
 				}
 			}
 		})
@@ -183,82 +183,82 @@
 }
 
 // pick chooses a live instance of the data centre.
-func (f *Fabric) pick(dc string, port uint16) (in platform.Instance, to netip.AddrPort, ok bool) {
+func (f *Fabric) pickInstance(dc string, port uint16) (in platform.Instance, to netip.AddrPort, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	live := f.live[dc]
+	live := f.liveInstances[dc]
 	if len(live) == 0 {
 		f.counts.NoInstance++
 		return in, to, false
 	}
 	in = live[f.rng.IntN(len(live))]
-	if f.faults.cuts(in) {
+	if f.faults.blocks(in) {
 		f.counts.Blocked++
 		return in, to, false
 	}
 	return in, netip.AddrPortFrom(netip.MustParseAddr(in.CallerIP), port), true
 }
 
-func (f *Fabric) route(k routeKey, dc string, public *net.UDPConn) (*route, error) {
+func (f *Fabric) routeFor(k routeKey, dc string, public *net.UDPConn) (*route, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if r, ok := f.routes[k]; ok {
-		r.used = time.Now()
+		r.lastUsed = time.Now()
 		return r, nil
 	}
 	up, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(k.caller.Addr(), 0)))
 	if err != nil {
 		return nil, eris.Wrapf(err, "bind to the IP of caller %s", k.caller)
 	}
-	r := &route{key: k, dc: dc, up: up, public: public, used: time.Now()}
+	r := &route{key: k, dc: dc, upstream: up, public: public, lastUsed: time.Now()}
 	f.routes[k] = r
 	f.counts.Sockets++
-	go f.reply(r)
+	go f.forwardReplies(r)
 	return r, nil
 }
 
 // reply forwards what instances send to the caller of r.
-func (f *Fabric) reply(r *route) {
-	buf := make([]byte, maxDatagram)
+func (f *Fabric) forwardReplies(r *route) {
+	buf := make([]byte, maxDatagramSize)
 	for {
-		n, from, err := r.up.ReadFromUDPAddrPort(buf)
+		n, from, err := r.upstream.ReadFromUDPAddrPort(buf)
 		if err != nil {
 			return
 		}
 		f.mu.Lock()
-		in, known := f.byIP[from.Addr().Unmap()]
-		cut := known && f.faults.cuts(in)
+		in, known := f.instanceByIP[from.Addr().Unmap()]
+		cut := known && f.faults.blocks(in)
 		if !known || from.Port() != r.key.public.Port() {
 			f.counts.Stray++
 		}
 		if cut {
 			f.counts.Blocked++
 		}
-		r.used = time.Now()
+		r.lastUsed = time.Now()
 		f.mu.Unlock()
 		if !known || cut || from.Port() != r.key.public.Port() {
 			continue
 		}
-		f.forward(r.dc, buf[:n], func(datagram []byte) {
+		f.applyFaults(r.dc, buf[:n], func(datagram []byte) {
 			if _, err := r.public.WriteToUDPAddrPort(datagram, r.key.caller); err == nil {
-				f.count(func(c *Counts) { c.ToCallers++ })
+				f.updateCounts(func(c *Counts) { c.ToCallers++ })
 			}
 		})
 	}
 }
 
-func (f *Fabric) expire(now time.Time) {
+func (f *Fabric) closeIdleRoutes(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for k, r := range f.routes {
-		if now.Sub(r.used) > f.opt.IdleTimeout {
-			_ = r.up.Close()
+		if now.Sub(r.lastUsed) > f.opt.IdleTimeout {
+			_ = r.upstream.Close()
 			delete(f.routes, k)
 		}
 	}
 }
 
-func (f *Fabric) count(change func(*Counts)) {
+func (f *Fabric) updateCounts(change func(*Counts)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change(&f.counts)
--- a/internal/standin/fabric/fabric_test.go
+++ b/internal/standin/fabric/fabric_test.go
@@ -109,10 +109,10 @@
 // Guards against a split that lets traffic between data centres through, loses
 // bytes when it ends, or stops the links within a data centre; a cut of one way
 // that cuts the other; and broken links that stay open.
-func TestSplitStopsLinksBetweenDataCentres(t *testing.T) {
+func TestPartitionStopsLinksBetweenDataCentres(t *testing.T) {
 	f := New(Options{})
-	f.byIP[netip.MustParseAddr("127.81.1.1")] = platform.Instance{ID: "a", DataCentre: "dc1"}
-	f.byIP[netip.MustParseAddr("127.81.1.2")] = platform.Instance{ID: "b", DataCentre: "dc2"}
+	f.instanceByIP[netip.MustParseAddr("127.81.1.1")] = platform.Instance{ID: "a", DataCentre: "dc1"}
+	f.instanceByIP[netip.MustParseAddr("127.81.1.2")] = platform.Instance{ID: "b", DataCentre: "dc2"}
 	ln, err := net.Listen("tcp4", "127.81.2.1:5793")
 	assert.NilError(t, err)
 	defer ln.Close()
@@ -127,7 +127,7 @@
 	}()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	assert.NilError(t, f.carry(ctx, Link{
+	assert.NilError(t, f.serveLink(ctx, Link{
 		Listen: netip.MustParseAddrPort("127.81.2.2:5793"), Target: netip.MustParseAddrPort("127.81.2.1:5793"), DataCentre: "dc2",
 	}))
 	dial := func(ip string) net.Conn {
--- a/internal/standin/fabric/faults.go
+++ b/internal/standin/fabric/faults.go
@@ -32,7 +32,7 @@
 	LinkDelayMS float64 `json:"between_ms"` // one way, on links between data centres
 }
 
-func (f *Faults) cuts(in platform.Instance) bool {
+func (f *Faults) blocks(in platform.Instance) bool {
 	return slices.Contains(f.BlockedInstances, in.ID) || slices.Contains(f.BlockedDataCentres, in.DataCentre)
 }
 
@@ -52,7 +52,7 @@
 
 // forward passes a datagram to send once, twice or not at all, now or later.
 // The datagram is copied when it is kept.
-func (f *Fabric) forward(dc string, datagram []byte, send func([]byte)) {
+func (f *Fabric) applyFaults(dc string, datagram []byte, send func([]byte)) {
 	f.mu.Lock()
 	ft := &f.faults
 	if ft.Loss > 0 && f.rng.Float64() < ft.Loss {
@@ -94,8 +94,8 @@
 	defer f.mu.Unlock()
 	f.faults = ft
 	if ft.ResetLinks {
-		close(f.breaking)
-		f.breaking = make(chan struct{})
+		close(f.linkReset)
+		f.linkReset = make(chan struct{})
 	}
 }
 
--- a/internal/standin/fabric/links.go
+++ b/internal/standin/fabric/links.go
@@ -14,10 +14,10 @@
 const (
 	// gateCheck is the interval at which a stopped link looks whether the data
 	// centres are connected again.
-	gateCheck = 20 * time.Millisecond
+	partitionPollInterval = 20 * time.Millisecond
 	// linkQueue bounds the chunks of a link that wait for their delay.
-	linkQueue = 256
-	linkChunk = 16 << 10
+	linkQueueLength = 256
+	linkChunkSize   = 16 << 10
 )
 
 // Link is the address at which other instances reach the peer listener of an
@@ -31,13 +31,13 @@
 }
 
 // chunk is a part of a stream and the time at which it is due.
-type chunk struct {
+type delayedChunk struct {
 	data []byte
 	due  time.Time
 }
 
 // carry accepts connections to a link until ctx ends.
-func (f *Fabric) carry(ctx context.Context, l Link) error {
+func (f *Fabric) serveLink(ctx context.Context, l Link) error {
 	ln, err := net.Listen("tcp4", l.Listen.String())
 	if err != nil {
 		return eris.Wrapf(err, "listen for the link to %s", l.Target)
@@ -52,20 +52,20 @@
 			if err != nil {
 				return
 			}
-			go f.join(ctx, c, l)
+			go f.proxyLink(ctx, c, l)
 		}
 	}()
 	return nil
 }
 
 // join connects an accepted connection with the target of the link.
-func (f *Fabric) join(ctx context.Context, from net.Conn, l Link) {
+func (f *Fabric) proxyLink(ctx context.Context, from net.Conn, l Link) {
 	defer func() { _ = from.Close() }()
 	source, _ := netip.ParseAddrPort(from.RemoteAddr().String())
 	f.mu.Lock()
-	dc := f.byIP[source.Addr().Unmap()].DataCentre
+	dc := f.instanceByIP[source.Addr().Unmap()].DataCentre
 	f.mu.Unlock()
-	if !f.gate(ctx, dc, l.DataCentre) || !f.gate(ctx, l.DataCentre, dc) {
+	if !f.waitUntilOpen(ctx, dc, l.DataCentre) || !f.waitUntilOpen(ctx, l.DataCentre, dc) {
 		return
 	}
 	to, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp4", l.Target.String())
@@ -75,41 +75,41 @@
 	defer func() { _ = to.Close() }()
 	done := make(chan struct{}, 2)
 	copyTo := func(dst, src net.Conn, a, b string) {
-		f.stream(ctx, dst, src, a, b)
+		f.copyWithDelay(ctx, dst, src, a, b)
 		done <- struct{}{}
 	}
 	go copyTo(to, from, dc, l.DataCentre)
 	go copyTo(from, to, l.DataCentre, dc)
 	select {
 	case <-done:
-	case <-f.broken(dc, l.DataCentre):
+	case <-f.resetSignal(dc, l.DataCentre):
 	case <-ctx.Done():
 	}
 }
 
 // broken returns a channel that is closed when the connections between the data
 // centres are broken. It is nil within a data centre.
-func (f *Fabric) broken(a, b string) <-chan struct{} {
+func (f *Fabric) resetSignal(a, b string) <-chan struct{} {
 	if a == b || a == "" {
 		return nil
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.breaking
+	return f.linkReset
 }
 
 // stream copies src in data centre a to dst in b with the delay between them.
 // While that way is cut nothing moves and the connection stays open, as it is
 // with lost segments.
-func (f *Fabric) stream(ctx context.Context, dst io.Writer, src io.Reader, a, b string) {
-	queue := make(chan chunk, linkQueue)
+func (f *Fabric) copyWithDelay(ctx context.Context, dst io.Writer, src io.Reader, a, b string) {
+	queue := make(chan delayedChunk, linkQueueLength)
 	go func() {
 		defer close(queue)
 		for {
-			buf := make([]byte, linkChunk)
+			buf := make([]byte, linkChunkSize)
 			n, err := src.Read(buf)
 			if n > 0 {
-				queue <- chunk{data: buf[:n], due: time.Now().Add(f.between(a, b))}
+				queue <- delayedChunk{data: buf[:n], due: time.Now().Add(f.linkDelay(a, b))}
 			}
 			if err != nil {
 				return
@@ -118,7 +118,7 @@
 	}()
 	for c := range queue {
 		time.Sleep(time.Until(c.due))
-		if !f.gate(ctx, a, b) {
+		if !f.waitUntilOpen(ctx, a, b) {
 			break
 		}
 		if _, err := dst.Write(c.data); err != nil {
@@ -131,7 +131,7 @@
 	}()
 }
 
-func (f *Fabric) between(a, b string) time.Duration {
+func (f *Fabric) linkDelay(a, b string) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if a == b || a == "" {
@@ -142,7 +142,7 @@
 
 // gate waits until the way from data centre a to b is open. It returns false
 // when ctx ends.
-func (f *Fabric) gate(ctx context.Context, a, b string) bool {
+func (f *Fabric) waitUntilOpen(ctx context.Context, a, b string) bool {
 	for {
 		f.mu.Lock()
 		split := a != b && a != "" &&
@@ -155,7 +155,7 @@
 		select {
 		case <-ctx.Done():
 			return false
-		case <-time.After(gateCheck):
+		case <-time.After(partitionPollInterval):
 		}
 	}
 }
--- a/internal/standin/platform/platform_test.go
+++ b/internal/standin/platform/platform_test.go
@@ -70,14 +70,14 @@
 }
 
 // Guards against a list that shows changes before its lag.
-func TestListLags(t *testing.T) {
-	l := newList(80 * time.Millisecond)
+func TestInstanceListLag(t *testing.T) {
+	l := newInstanceList(80 * time.Millisecond)
 	l.set(Instance{ID: "a"}, true)
-	assert.Equal(t, len(l.show()), 0)
+	assert.Equal(t, len(l.visibleInstances()), 0)
 	time.Sleep(100 * time.Millisecond)
-	assert.Equal(t, len(l.show()), 1)
-	assert.Assert(t, l.leave("a"))
-	assert.Assert(t, !l.show()[0].Leaving)
+	assert.Equal(t, len(l.visibleInstances()), 1)
+	assert.Assert(t, l.markLeaving("a"))
+	assert.Assert(t, !l.visibleInstances()[0].Leaving)
 	time.Sleep(100 * time.Millisecond)
-	assert.Assert(t, l.show()[0].Leaving)
+	assert.Assert(t, l.visibleInstances()[0].Leaving)
 }
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -39,36 +39,36 @@
 // Platform serves the interface of section 3.7 of the design and a control
 // interface below /control/.
 type Platform struct {
-	docs *store
-	list *list
+	docs      *documentStore
+	instances *instanceList
 
-	mu     sync.Mutex
-	faults map[string]Fault
-	counts Counts
-	second int64
-	calls  int
-	mux    *http.ServeMux
+	mu            sync.Mutex
+	faults        map[string]Fault
+	counts        Counts
+	currentSecond int64
+	callsInSecond int
+	mux           *http.ServeMux
 }
 
 // New returns a platform with the documents below dir (none if empty) and a
 // list of instances that lags by lag.
 func New(dir string, lag time.Duration) (*Platform, error) {
-	p := &Platform{docs: newStore(), list: newList(lag), faults: map[string]Fault{}, mux: http.NewServeMux()}
+	p := &Platform{docs: newDocumentStore(), instances: newInstanceList(lag), faults: map[string]Fault{}, mux: http.NewServeMux()}
 	if dir != "" {
 		if err := p.docs.load(dir); err != nil {
 			return nil, err
 		}
 	}
-	p.mux.HandleFunc("GET /v1/documents", p.documents)
-	p.mux.HandleFunc("GET /v1/instances", p.instances)
-	p.mux.HandleFunc("PUT /v1/documents/{key...}", p.put)
-	p.mux.HandleFunc("DELETE /v1/documents/{key...}", p.put)
+	p.mux.HandleFunc("GET /v1/documents", p.handleDocuments)
+	p.mux.HandleFunc("GET /v1/instances", p.handleInstances)
+	p.mux.HandleFunc("PUT /v1/documents/{key...}", p.publishDocument)
+	p.mux.HandleFunc("DELETE /v1/documents/{key...}", p.publishDocument)
 	p.mux.HandleFunc("GET /control/counts", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, p.Counts()) })
 	p.mux.HandleFunc("PUT /control/fault", p.setFault)
 	p.mux.HandleFunc("PUT /control/lag", p.setLag)
-	p.mux.HandleFunc("PUT /control/instances/{id}", p.setInstance)
-	p.mux.HandleFunc("DELETE /control/instances/{id}", p.setInstance)
-	p.mux.HandleFunc("POST /control/instances/{id}/leave", p.leave)
+	p.mux.HandleFunc("PUT /control/instances/{id}", p.changeInstance)
+	p.mux.HandleFunc("DELETE /control/instances/{id}", p.changeInstance)
+	p.mux.HandleFunc("POST /control/instances/{id}/leave", p.markLeaving)
 	return p, nil
 }
 
@@ -83,21 +83,21 @@
 }
 
 // Set adds an instance to the list or replaces it.
-func (p *Platform) Set(in Instance) { p.list.set(in, true) }
+func (p *Platform) Set(in Instance) { p.instances.set(in, true) }
 
 // call counts a call and applies the fault of the listen address.
-func (p *Platform) call(r *http.Request, n *int) Fault {
+func (p *Platform) startCall(r *http.Request, n *int) Fault {
 	f := p.fault(r)
 	if f.Down {
 		panic(http.ErrAbortHandler)
 	}
 	p.mu.Lock()
 	*n++
-	if now := time.Now().Unix(); now != p.second {
-		p.second, p.calls = now, 0
+	if now := time.Now().Unix(); now != p.currentSecond {
+		p.currentSecond, p.callsInSecond = now, 0
 	}
-	p.calls++
-	p.counts.PeakPerSecond = max(p.counts.PeakPerSecond, p.calls)
+	p.callsInSecond++
+	p.counts.PeakPerSecond = max(p.counts.PeakPerSecond, p.callsInSecond)
 	p.mu.Unlock()
 	time.Sleep(time.Duration(f.SlowMS) * time.Millisecond)
 	return f
@@ -116,13 +116,13 @@
 	return p.faults[""]
 }
 
-func (p *Platform) documents(w http.ResponseWriter, r *http.Request) {
-	after, err := number(r, "after")
+func (p *Platform) handleDocuments(w http.ResponseWriter, r *http.Request) {
+	after, err := uintParam(r, "after")
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	wait, err := number(r, "wait")
+	wait, err := uintParam(r, "wait")
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -131,7 +131,7 @@
 	if wait > 0 {
 		n = &p.counts.Watches
 	}
-	f := p.call(r, n)
+	f := p.startCall(r, n)
 	timer := time.NewTimer(min(time.Duration(wait)*time.Second, maxWait))
 	defer timer.Stop()
 	for {
@@ -153,15 +153,15 @@
 	}
 }
 
-func (p *Platform) instances(w http.ResponseWriter, r *http.Request) {
-	p.call(r, &p.counts.Lists)
-	writeJSON(w, map[string]any{"instances": p.list.show()})
+func (p *Platform) handleInstances(w http.ResponseWriter, r *http.Request) {
+	p.startCall(r, &p.counts.Lists)
+	writeJSON(w, map[string]any{"instances": p.instances.visibleInstances()})
 }
 
-func (p *Platform) put(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) publishDocument(w http.ResponseWriter, r *http.Request) {
 	var value *string
 	if r.Method == http.MethodPut {
-		data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBytes))
+		data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxResponseBytes))
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusRequestEntityTooLarge)
 			return
@@ -186,26 +186,26 @@
 		LagMS int `json:"lag_ms"`
 	}
 	if readJSON(w, r, &v) {
-		p.list.setLag(time.Duration(v.LagMS) * time.Millisecond)
+		p.instances.setLag(time.Duration(v.LagMS) * time.Millisecond)
 	}
 }
 
-func (p *Platform) setInstance(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) changeInstance(w http.ResponseWriter, r *http.Request) {
 	in := Instance{ID: r.PathValue("id")}
 	if r.Method == http.MethodPut && !readJSON(w, r, &in) {
 		return
 	}
 	in.ID = r.PathValue("id")
-	p.list.set(in, r.Method == http.MethodPut)
+	p.instances.set(in, r.Method == http.MethodPut)
 }
 
-func (p *Platform) leave(w http.ResponseWriter, r *http.Request) {
-	if !p.list.leave(r.PathValue("id")) {
+func (p *Platform) markLeaving(w http.ResponseWriter, r *http.Request) {
+	if !p.instances.markLeaving(r.PathValue("id")) {
 		http.Error(w, "unknown instance", http.StatusNotFound)
 	}
 }
 
-func number(r *http.Request, name string) (uint64, error) {
+func uintParam(r *http.Request, name string) (uint64, error) {
 	s := r.URL.Query().Get(name)
 	if s == "" {
 		return 0, nil
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -15,7 +15,7 @@
 )
 
 // maxBytes bounds the values of one response, as the platform does.
-const maxBytes = 1 << 20
+const maxResponseBytes = 1 << 20
 
 // Document is one publication.
 type Document struct {
@@ -41,15 +41,15 @@
 }
 
 // store keeps every publication, so that an older state can be served.
-type store struct {
+type documentStore struct {
 	mu      sync.Mutex
 	log     []Document // log[i] has revision i+1
 	changed chan struct{}
 }
 
-func newStore() *store { return &store{changed: make(chan struct{})} }
+func newDocumentStore() *documentStore { return &documentStore{changed: make(chan struct{})} }
 
-func (s *store) publish(key string, value *string) uint64 {
+func (s *documentStore) publish(key string, value *string) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	rev := uint64(len(s.log)) + 1
@@ -61,7 +61,7 @@
 
 // load publishes the .toml files below dir; the key of a file is its path
 // without the extension.
-func (s *store) load(dir string) error {
+func (s *documentStore) load(dir string) error {
 	return filepath.WalkDir(dir, func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() || filepath.Ext(path) != ".toml" {
 			return err
@@ -83,7 +83,7 @@
 // page returns the last publication of each key after revision after, as the
 // state was at revision limit (0: now), and a channel that closes at the next
 // publication.
-func (s *store) page(after, limit uint64) (Page, <-chan struct{}) {
+func (s *documentStore) page(after, limit uint64) (Page, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	upto := uint64(len(s.log))
@@ -106,7 +106,7 @@
 		if d.Value != nil {
 			size += len(*d.Value)
 		}
-		if size > maxBytes && i > 0 {
+		if size > maxResponseBytes && i > 0 {
 			p.Documents, p.More, p.Upto = p.Documents[:i], true, p.Documents[i-1].Revision
 			break
 		}
@@ -115,39 +115,39 @@
 }
 
 // list is the list of instances. A change shows after the lag.
-type list struct {
+type instanceList struct {
 	mu      sync.Mutex
 	lag     time.Duration
-	now     map[string]Instance
-	changes []change
-	shown   map[string]Instance
+	current map[string]Instance
+	pending []change
+	visible map[string]Instance
 }
 
 type change struct {
-	at time.Time
-	in Instance
-	on bool // false: removed
+	visibleAt time.Time
+	instance  Instance
+	present   bool // false: removed
 }
 
-func newList(lag time.Duration) *list {
-	return &list{lag: lag, now: map[string]Instance{}, shown: map[string]Instance{}}
+func newInstanceList(lag time.Duration) *instanceList {
+	return &instanceList{lag: lag, current: map[string]Instance{}, visible: map[string]Instance{}}
 }
 
-func (l *list) set(in Instance, on bool) {
+func (l *instanceList) set(in Instance, on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !on {
-		delete(l.now, in.ID)
+		delete(l.current, in.ID)
 	} else {
-		l.now[in.ID] = in
+		l.current[in.ID] = in
 	}
-	l.changes = append(l.changes, change{at: time.Now().Add(l.lag), in: in, on: on})
+	l.pending = append(l.pending, change{visibleAt: time.Now().Add(l.lag), instance: in, present: on})
 }
 
 // leave marks the instance id as leaving.
-func (l *list) leave(id string) bool {
+func (l *instanceList) markLeaving(id string) bool {
 	l.mu.Lock()
-	in, ok := l.now[id]
+	in, ok := l.current[id]
 	l.mu.Unlock()
 	if ok {
 		in.Leaving = true
@@ -156,30 +156,30 @@
 	return ok
 }
 
-func (l *list) setLag(d time.Duration) {
+func (l *instanceList) setLag(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lag = d
 }
 
-func (l *list) show() []Instance {
+func (l *instanceList) visibleInstances() []Instance {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	rest := l.changes[:0]
-	for _, c := range l.changes {
+	rest := l.pending[:0]
+	for _, c := range l.pending {
 		switch {
-		case c.at.After(now):
+		case c.visibleAt.After(now):
 			rest = append(rest, c)
-		case c.on:
-			l.shown[c.in.ID] = c.in
+		case c.present:
+			l.visible[c.instance.ID] = c.instance
 		default:
-			delete(l.shown, c.in.ID)
+			delete(l.visible, c.instance.ID)
 		}
 	}
-	l.changes = rest
-	out := make([]Instance, 0, len(l.shown))
-	for _, in := range l.shown {
+	l.pending = rest
+	out := make([]Instance, 0, len(l.visible))
+	for _, in := range l.visible {
 		out = append(out, in)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].ID < out[j].ID })
--- a/internal/standin/report/report.go
+++ b/internal/standin/report/report.go
@@ -29,13 +29,13 @@
 	// killBefore and killAfter delimit the start of a feed break that the killing
 	// of an instance explains. A break starts at the last reading, up to one
 	// reading interval before the kill.
-	killBefore = 2 * time.Second
-	killAfter  = 5 * time.Second
+	killWindowBefore = 2 * time.Second
+	killWindowAfter  = 5 * time.Second
 	// comeBack is the time within which such a feed must be back.
-	comeBack = 15 * time.Second
+	maxRecoveryTime = 15 * time.Second
 	// minAnswered is the share of the operations of a class that must have been
 	// answered, so that refusing everything does not pass as keeping promises.
-	minAnswered = 0.95
+	minAnsweredShare = 0.95
 )
 
 // Event is something that the demo or a test did.
@@ -83,7 +83,7 @@
 		v.BrokenFeeds, v.Misdelivered, v.DuplicateExecutions, v.LostAnswers, v.FalseRefusals, v.FailedByPlannedStop)
 }
 
-func (v *Verdict) add(n *int, format string, args ...any) {
+func (v *Verdict) addViolation(n *int, format string, args ...any) {
 	*n++
 	v.Details = append(v.Details, fmt.Sprintf(format, args...))
 }
@@ -118,19 +118,19 @@
 		for name, t := range b.Targets {
 			if t.WrongService > 0 {
 				v.Misdelivered += t.WrongService - 1
-				v.add(&v.Misdelivered, "crossed: %d requests of another service at %s", t.WrongService, name)
+				v.addViolation(&v.Misdelivered, "crossed: %d requests of another service at %s", t.WrongService, name)
 			}
 			if n := t.LateWork + t.FeedsClosedByDrain; n > 0 {
 				v.LateWork += n - 1
-				v.add(&v.LateWork, "draining backend server %s: %d times new work late in the drain, %d feeds open at its end", name, t.LateWork, t.FeedsClosedByDrain)
+				v.addViolation(&v.LateWork, "draining backend server %s: %d times new work late in the drain, %d feeds open at its end", name, t.LateWork, t.FeedsClosedByDrain)
 			}
 		}
 	}
-	v.judgeRuns(runs)
+	v.checkExecutions(runs)
 	for _, c := range in.Callers {
 		for _, id := range c.Refused {
 			if runs[id].Count > 0 {
-				v.add(&v.FalseRefusals, "false refusal: %s was refused as not run but ran (post=%t)", id, runs[id].Post)
+				v.addViolation(&v.FalseRefusals, "false refusal: %s was refused as not run but ran (post=%t)", id, runs[id].Post)
 			}
 		}
 		for _, id := range c.Deferred {
@@ -138,13 +138,13 @@
 				v.WastedExecutions++
 			}
 		}
-		v.judgeFailures(c.Failures, in.Events)
+		v.checkFailures(c.Failures, in.Events)
 		for _, name := range slices.Sorted(maps.Keys(c.Classes)) {
 			k := c.Classes[name]
 			if isFeed(name) || name == "outcome query" {
 				continue
 			}
-			if float64(k.OK) < minAnswered*float64(k.Started) || k.Started == 0 {
+			if float64(k.OK) < minAnsweredShare*float64(k.Started) || k.Started == 0 {
 				v.Details = append(v.Details, fmt.Sprintf("service: only %d of %d answered in class %s", k.OK, k.Started, name))
 			}
 		}
@@ -153,7 +153,7 @@
 }
 
 // judgeRuns counts operations that ran more than once although they must not.
-func (v *Verdict) judgeRuns(runs map[string]wire.ExecutionCounts) {
+func (v *Verdict) checkExecutions(runs map[string]wire.ExecutionCounts) {
 	ops := map[string]int{}
 	for s, r := range runs {
 		if id, err := wire.ParseID(s); err == nil && r.Post {
@@ -162,35 +162,35 @@
 	}
 	for _, op := range slices.Sorted(maps.Keys(ops)) {
 		if ops[op] > 1 {
-			v.add(&v.DuplicateExecutions, "doubled: %s ran %d times", op, ops[op])
+			v.addViolation(&v.DuplicateExecutions, "doubled: %s ran %d times", op, ops[op])
 		}
 	}
 }
 
-func (v *Verdict) judgeFailures(failures []wire.Failure, events []Event) {
+func (v *Verdict) checkFailures(failures []wire.Failure, events []Event) {
 	type allowed struct {
 		feed string
 		kill int64
 	}
 	broke := map[allowed]bool{} // a kill allows one break of each feed
 	for _, f := range failures {
-		stop, kills := during(f, events)
+		stop, kills := overlappingEvents(f, events)
 		what := fmt.Sprintf("%s %s %s from %d to %d: %s", f.Kind, f.Class, f.ID, f.Start, f.End, f.Detail)
 		cut := stop && len(kills) == 0
 		switch f.Kind {
 		case wire.KindWrongContent:
-			v.add(&v.Misdelivered, "%s", what)
+			v.addViolation(&v.Misdelivered, "%s", what)
 			cut = false
 		case wire.KindLost:
-			v.add(&v.LostAnswers, "%s", what)
+			v.addViolation(&v.LostAnswers, "%s", what)
 		case wire.KindFeedEnded, wire.KindFeedSilent:
 			feed := f.ID[:strings.LastIndex(f.ID, ".")]
 			unused := slices.IndexFunc(kills, func(at int64) bool { return !broke[allowed{feed, at}] })
-			if unused >= 0 && f.End != 0 && f.End-f.Start <= comeBack.Milliseconds() {
+			if unused >= 0 && f.End != 0 && f.End-f.Start <= maxRecoveryTime.Milliseconds() {
 				broke[allowed{feed, kills[unused]}] = true
 				v.AllowedBreaks++
 			} else {
-				v.add(&v.BrokenFeeds, "%s", what)
+				v.addViolation(&v.BrokenFeeds, "%s", what)
 			}
 		case wire.KindFailed:
 			v.Details = append(v.Details, what)
@@ -198,14 +198,14 @@
 			cut = false // true refusals under load; the share answered is judged instead
 		}
 		if cut {
-			v.add(&v.FailedByPlannedStop, "cut by planned stop: %s", what)
+			v.addViolation(&v.FailedByPlannedStop, "cut by planned stop: %s", what)
 		}
 	}
 }
 
 // during reports whether a failure overlaps a planned stop, and the times at which
 // instances were killed that explain it.
-func during(f wire.Failure, events []Event) (stop bool, kills []int64) {
+func overlappingEvents(f wire.Failure, events []Event) (stop bool, kills []int64) {
 	end := f.End
 	if end == 0 {
 		end = 1 << 62
@@ -218,7 +218,7 @@
 		case StopEnd:
 			stop = stop || f.Start <= e.At && end >= began[e.Note]
 		case Kill:
-			from, to := e.At-killBefore.Milliseconds(), e.At+killAfter.Milliseconds()
+			from, to := e.At-killWindowBefore.Milliseconds(), e.At+killWindowAfter.Milliseconds()
 			if f.Start <= to && (end >= from && !isFeed(f.Class) || f.Start >= from && isFeed(f.Class)) {
 				kills = append(kills, e.At)
 			}
@@ -268,7 +268,7 @@
 		return eris.Wrap(err, "write table")
 	}
 	fmt.Fprintf(w, "\nallowed breaks: %d feeds whose last reading was between %s before and %s after the killing of an instance broke once and came back within %s\n",
-		v.AllowedBreaks, killBefore, killAfter, comeBack)
+		v.AllowedBreaks, killWindowBefore, killWindowAfter, maxRecoveryTime)
 	fmt.Fprintf(w, "wasted: %d requests were told to come back although they had run\n", v.WastedExecutions)
 	for i, d := range v.Details {
 		if i == 40 {
--- a/internal/standin/report/report_test.go
+++ b/internal/standin/report/report_test.go
@@ -9,13 +9,13 @@
 	"arbutusdock.example/arbutusdock/internal/standin/wire"
 )
 
-func answered() map[string]*wire.ClassCounts {
+func answeredClasses() map[string]*wire.ClassCounts {
 	return map[string]*wire.ClassCounts{"claim": {Started: 100, OK: 99}}
 }
 
 // Guards against a verdict that overlooks a broken promise, and against one
 // that blames the product for what the rules allow.
-func TestJudge(t *testing.T) {
+func TestEvaluate(t *testing.T) {
 	events, err := ParseEvents(strings.NewReader("10000 stop-begin dc1-1\n14000 stop-end dc1-1\n20000 kill dc1-2\n"))
 	assert.NilError(t, err)
 	in := Input{Events: events}
@@ -27,7 +27,7 @@
 		},
 	}}
 	in.Callers = []wire.CallerResult{{
-		Classes: answered(),
+		Classes: answeredClasses(),
 		Refused: []string{"counter.a.1.1", "counter.a.9.1"},
 		Failures: []wire.Failure{
 			{ID: "alarm.f.1.1", Class: "alarm feed", Kind: wire.KindFeedSilent, Start: 19900, End: 24000}, // by the kill
@@ -48,7 +48,7 @@
 
 // Guards against a second break of a feed that an earlier kill excuses, and
 // against a planned stop whose end is taken for that of another.
-func TestJudgeSeveral(t *testing.T) {
+func TestEvaluateSeveralKillsAndStops(t *testing.T) {
 	events := []Event{{At: 10_000, Name: Kill}, {At: 10_500, Name: Kill}, {At: 30_000, Name: Kill}, {At: 50_000, Name: StopBegin, Note: "a"},
 		{At: 52_000, Name: StopBegin, Note: "b"}, {At: 53_000, Name: StopEnd, Note: "a"}, {At: 54_000, Name: StopEnd, Note: "b"}}
 	broken := func(start int64) wire.Failure {
@@ -64,8 +64,8 @@
 }
 
 // Guards against a demo that passes because nothing was answered.
-func TestJudgeNeedsAnswers(t *testing.T) {
-	v := Evaluate(Input{Callers: []wire.CallerResult{{Classes: answered()}}})
+func TestEvaluateRequiresAnswers(t *testing.T) {
+	v := Evaluate(Input{Callers: []wire.CallerResult{{Classes: answeredClasses()}}})
 	assert.Assert(t, v.OK(), "%v", v.Details)
 	v = Evaluate(Input{Callers: []wire.CallerResult{{Classes: map[string]*wire.ClassCounts{"claim": {Started: 100, OK: 50}}}}})
 	assert.Assert(t, !v.OK())
--- a/internal/standin/wire/wire.go
+++ b/internal/standin/wire/wire.go
@@ -84,7 +84,7 @@
 	if !found {
 		return "", eris.Wrap(ErrIncomplete, "no header line")
 	}
-	h := fields(string(line))
+	h := parseFields(string(line))
 	if h["service"] != service || h["id"] != id {
 		return "", eris.Wrapf(ErrMismatch, "want service=%s id=%s, have %q", service, id, line)
 	}
@@ -108,7 +108,7 @@
 // ParseReading checks that payload is a reading of the feed and returns its
 // sequence number.
 func ParseReading(payload []byte, service, feed string) (seq uint64, err error) {
-	h := fields(string(payload))
+	h := parseFields(string(payload))
 	if h["service"] != service || h["feed"] != feed {
 		return 0, eris.Wrapf(ErrMismatch, "want service=%s feed=%s, have %q", service, feed, payload)
 	}
@@ -119,7 +119,7 @@
 	return seq, nil
 }
 
-func fields(line string) map[string]string {
+func parseFields(line string) map[string]string {
 	m := make(map[string]string, 5)
 	for _, f := range strings.Fields(line) {
 		k, v, _ := strings.Cut(f, "=")
--- a/internal/standin/wire/wire_test.go
+++ b/internal/standin/wire/wire_test.go
@@ -32,7 +32,7 @@
 }
 
 // Guards against readings of another feed being taken for one's own.
-func TestReading(t *testing.T) {
+func TestParseReadingRejectsOtherFeed(t *testing.T) {
 	seq, err := ParseReading(Reading("alarm", "site-4", 12), "alarm", "site-4")
 	assert.NilError(t, err)
 	assert.Equal(t, seq, uint64(12))
