--- a/cmd/standin/callers.go
+++ b/cmd/standin/callers.go
@@ -55,7 +55,7 @@
 	for _, s := range services {
 		ports[string(s.Name)] = s.Port
 	}
-	k, err := caller.New(ctx, caller.Options{
+	g, err := caller.New(ctx, caller.Options{
 		User: c.User, PublicIPs: public, Ports: ports, Sources: sources, Feeds: feeds, PartnerHosts: c.Hosts, FirstLocalIP: c.Local,
 		Callers: c.Callers, Duration: c.Duration, Deadline: c.Deadline, RefreshInterval: c.Refresh, SilenceTimeout: c.Silence,
 		BurstFactor: c.Burst, ZipfExponent: c.Zipf, Seed: c.Seed,
@@ -63,7 +63,7 @@
 	if err != nil {
 		return err
 	}
-	data, err := json.Marshal(k.Run(ctx))
+	data, err := json.Marshal(g.Run(ctx))
 	if err != nil {
 		return eris.Wrap(err, "encode counts")
 	}
@@ -112,7 +112,8 @@
 	return nil
 }
 
-// read decodes JSON from a file or from the path of a base URL.
+// readCounts decodes JSON from source, which is a file or a base URL to which path
+// is appended.
 func readCounts(source, path string, v any) error {
 	if !strings.HasPrefix(source, "http://") {
 		data, err := os.ReadFile(source)
@@ -129,7 +130,7 @@
 	return eris.Wrapf(json.NewDecoder(resp.Body).Decode(v), "decode %s", source)
 }
 
-// httpCmd replaces an external HTTP client in scripts.
+// httpCmd sends one HTTP request, so that scripts need no external HTTP client.
 type httpCmd struct {
 	Method string `arg:"positional,required"`
 	URL    string `arg:"positional,required"`
@@ -141,7 +142,7 @@
 	if file, ok := strings.CutPrefix(c.Body, "@"); ok {
 		var err error
 		if body, err = os.ReadFile(file); err != nil {
-			return eris.Wrap(err, "read body")
+			return eris.Wrap(err, "read request body")
 		}
 	}
 	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
--- a/cmd/standin/generate.go
+++ b/cmd/standin/generate.go
@@ -11,7 +11,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// Ports of the generated fleet. Services keep the ports of their documents.
+// Ports of the generated instances, backend servers and stand-ins. Services keep
+// the ports of their example documents.
 const (
 	peerPort     = 7100
 	adminPort    = 7200
@@ -20,7 +21,7 @@
 	controlPort  = 7400
 )
 
-// generateCmd writes the settings and documents of a fleet on loopback
+// generateCmd writes the settings and documents of a set of instances on loopback
 // addresses. Base is the second byte of the first of five networks: instances
 // 127.B.<data centre>.<n>, backend servers 127.B+1.<data centre>.<n>, public
 // addresses 127.B+2.<data centre>.1, callers 127.B+3.<user>.<n>, stand-ins
@@ -36,7 +37,7 @@
 	Linger      string   `arg:"--linger" default:"2s" help:"linger period of a planned stop"`
 }
 
-// instance is one generated instance.
+// instance holds the id and addresses of one generated instance.
 type instance struct{ id, dc, ip, peerAddr string }
 
 func (i instance) peerListen() string { return fmt.Sprintf("%s:%d", i.ip, peerPort) }
@@ -59,7 +60,7 @@
 func (c *generateCmd) copyProfiles() error {
 	files, err := filepath.Glob(filepath.Join(c.Examples, "profile", "*.toml"))
 	if err != nil || len(files) == 0 {
-		return eris.Errorf("no profiles below %s (%v)", c.Examples, err)
+		return eris.Errorf("no profiles found below %s (%v)", c.Examples, err)
 	}
 	for _, f := range files {
 		data, err := os.ReadFile(f)
@@ -73,7 +74,8 @@
 	return nil
 }
 
-// service writes the example document of a service with generated targets.
+// writeService writes the example document of a service with generated targets.
+// Spec is "name=count", with the number of targets in each data centre.
 func (c *generateCmd) writeService(index int, spec string) error {
 	name, number, _ := strings.Cut(spec, "=")
 	var count int
@@ -100,8 +102,8 @@
 	return writeTOML(filepath.Join(c.Out, "documents", "service", name+".toml"), doc)
 }
 
-// instances writes the settings of all instances, a list of them for scripts
-// (id, data centre, IP, peer address) and the links of the fabric.
+// writeInstances writes the settings of all instances, a list of the instances
+// for scripts (id, data centre, IP, peer address) and the links of the fabric.
 func (c *generateCmd) writeInstances() error {
 	var all []instance
 	for dc := 1; dc <= c.DataCentres; dc++ {
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,6 +1,6 @@
-// Command standin runs the stand-ins (test doubles) for the world around
-// arbutusdock: the platform, the network fabric, backend servers and callers,
-// and sums up what they have counted.
+// Command standin runs the stand-ins (test doubles) for the systems around
+// arbutusdock: the platform, the network fabric, backend servers and callers. It
+// also reports their counters.
 package main
 
 import (
@@ -20,7 +20,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// args are the subcommands. See the README of internal/standin for examples.
+// args holds the subcommands. See the README of internal/standin for examples.
 type args struct {
 	Platform *platformCmd `arg:"subcommand:platform" help:"documents, watch and list of instances"`
 	Fabric   *fabricCmd   `arg:"subcommand:fabric" help:"sprays callers' datagrams over the instances"`
@@ -31,13 +31,14 @@
 	HTTP     *httpCmd     `arg:"subcommand:http" help:"sends one control request"`
 }
 
-// Description is shown by --help.
+// Description returns the text that --help shows.
 func (args) Description() string {
 	return "Stand-ins for the world around arbutusdock. All addresses are loopback addresses."
 }
 
-// errBroken tells that a promise was broken; the report has been printed.
-var errGuaranteeBroken = errors.New("a promise was broken")
+// errGuaranteeBroken means that the report, which is already printed, lists
+// violated guarantees.
+var errGuaranteeBroken = errors.New("the report lists violated guarantees")
 
 func main() {
 	var a args
@@ -72,7 +73,7 @@
 	}
 }
 
-// serve serves h at every address until ctx ends.
+// serve serves h at each address until ctx is cancelled or a server fails.
 func serve(ctx context.Context, h http.Handler, addresses ...string) error {
 	failed := make(chan error, len(addresses))
 	for _, a := range addresses {
@@ -93,7 +94,7 @@
 	}
 }
 
-// addresses parses "name=IP" pairs.
+// parseAddresses parses "name=IP" pairs.
 func parseAddresses(pairs []string) (map[string]netip.Addr, error) {
 	m := map[string]netip.Addr{}
 	for _, p := range pairs {
--- a/cmd/standin/world.go
+++ b/cmd/standin/world.go
@@ -84,19 +84,19 @@
 	}
 	var links []fabric.Link
 	for line := range strings.Lines(string(data)) {
-		w := strings.Fields(line)
-		if len(w) != 3 {
+		columns := strings.Fields(line)
+		if len(columns) != 3 {
 			return nil, eris.Errorf("links: line %q: want data centre, listen address, target address", line)
 		}
-		listen, err := netip.ParseAddrPort(w[1])
+		listen, err := netip.ParseAddrPort(columns[1])
 		if err != nil {
 			return nil, eris.Wrapf(err, "links: line %q", line)
 		}
-		target, err := netip.ParseAddrPort(w[2])
+		target, err := netip.ParseAddrPort(columns[2])
 		if err != nil {
 			return nil, eris.Wrapf(err, "links: line %q", line)
 		}
-		links = append(links, fabric.Link{DataCentre: w[0], Listen: listen, Target: target})
+		links = append(links, fabric.Link{DataCentre: columns[0], Listen: listen, Target: target})
 	}
 	return links, nil
 }
@@ -136,11 +136,11 @@
 	return serve(ctx, g.Handler(), c.Listen)
 }
 
-// defaultSlots is the number of slots of a target whose document names none.
+// defaultSlots is the number of slots of a target whose document sets none.
 const defaultSlots = 2
 
-// document is the part of a service document that the stand-ins need. They do
-// not use the product's own parser, so that a fault there shows.
+// serviceDocument is the part of a service document that the stand-ins need. They
+// do not use arbutusdock's own parser, so that they do not share its faults.
 type serviceDocument struct {
 	Port   uint16 `toml:"port"`
 	Target []struct {
@@ -155,7 +155,7 @@
 func loadServices(dir string) ([]config.Service, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "service", "*.toml"))
 	if err != nil || len(files) == 0 {
-		return nil, eris.Errorf("no service documents below %s (%v)", dir, err)
+		return nil, eris.Errorf("no service documents found below %s (%v)", dir, err)
 	}
 	var services []config.Service
 	for _, f := range files {
@@ -165,7 +165,7 @@
 		}
 		var d serviceDocument
 		if err := toml.Unmarshal(data, &d); err != nil {
-			return nil, eris.Wrapf(err, "service document %s", f)
+			return nil, eris.Wrapf(err, "parse service document %s", f)
 		}
 		s := config.Service{Name: ids.Service(strings.TrimSuffix(filepath.Base(f), ".toml")), Port: d.Port}
 		for _, t := range d.Target {
--- a/internal/standin/backend/backend.go
+++ b/internal/standin/backend/backend.go
@@ -1,7 +1,7 @@
-// Package backend is the stand-in for backend servers: CoAP servers with few
-// slots, a short queue, feeds and block-wise answers, whose health reports can
-// lag or lie. All servers of one process share a ledger that counts every
-// execution by request id.
+// Package backend is the stand-in for backend servers: CoAP servers with a limited
+// number of slots, a short queue, feeds and block-wise responses, whose health
+// reports can be delayed or wrong. All servers of one process share a counter of
+// executions by request id.
 package backend
 
 import (
@@ -22,37 +22,37 @@
 
 const (
 	// ackTimeout and maxRetransmit are the CoAP transmission parameters of the
-	// servers; loopback needs no 2 s.
+	// servers. On loopback the default ACK_TIMEOUT of 2 s is not needed.
 	ackTimeout    = 500 * time.Millisecond
 	maxRetransmit = 4
-	// retransmitTick is the interval at which go-coap looks for messages to
-	// retransmit. Its default of 4 s is longer than ackTimeout.
+	// retransmitCheckInterval is the interval at which go-coap checks for messages
+	// to retransmit. Its default of 4 s is longer than ackTimeout.
 	retransmitCheckInterval = 50 * time.Millisecond
-	// maxConnections is the limit of open feeds of one backend server.
+	// maxFeeds limits the open feeds of one backend server.
 	maxFeeds = 2000
-	// sampleTick is the interval of the samples from which lagging health
-	// reports are taken.
+	// healthSampleInterval is the interval at which the health state is recorded
+	// for delayed health reports.
 	healthSampleInterval = 100 * time.Millisecond
 	maxHealthSamples     = 600
 )
 
-// Options configure a Group.
+// Options configures a Group.
 type Options struct {
 	Services      []config.Service
-	DataCentre    string                   // only targets of this data centre; empty for all
-	RunTime       map[string]time.Duration // run time of a short request by service; default 20 ms
-	LongRunFactor int                      // run time of a long request over that of a short one
-	QueueLimit    int                      // requests that wait for a slot
-	FeedInterval  time.Duration            // between two readings of a feed
-	DrainGrace    time.Duration            // from the start of a drain until open feeds are cut
-	ColdPeriod    time.Duration            // cold period after a cold start
+	DataCentre    string                   // only targets of this data centre; empty: all
+	RunTime       map[string]time.Duration // average run time of a short request by service; default 20 ms
+	LongRunFactor int                      // run time of a long request as a multiple of that of a short one
+	QueueLimit    int                      // maximum number of requests that wait for a slot
+	FeedInterval  time.Duration            // time between two readings of a feed
+	DrainGrace    time.Duration            // time from the start of a drain until open feeds are closed
+	ColdPeriod    time.Duration            // time after a cold start during which requests run slower
 	Logger        *slog.Logger
 }
 
-// Group is a set of backend servers in one process.
+// Group is the set of backend servers of one process.
 type Group struct {
 	opt        Options
-	epoch      time.Time
+	epoch      time.Time // start of the sequence numbers of all feeds
 	executions executionCounter
 	servers    []*Server
 	done       chan struct{}
@@ -60,13 +60,13 @@
 	closeOnce  sync.Once
 }
 
-// Start opens a server for every target of the services.
+// Start starts a server for each target of the services.
 func Start(opt Options) (*Group, error) {
 	if opt.Logger == nil {
 		opt.Logger = slog.Default()
 	}
 	g := &Group{opt: opt, epoch: time.Now(), done: make(chan struct{}), executions: newExecutionCounter()}
-	tick := periodic.New(g.done, retransmitCheckInterval)
+	retransmitRunner := periodic.New(g.done, retransmitCheckInterval)
 	for _, svc := range opt.Services {
 		for _, t := range svc.Targets {
 			if opt.DataCentre != "" && string(t.DataCentre) != opt.DataCentre {
@@ -84,7 +84,7 @@
 				options.WithProcessReceivedMessageFunc(processInGoroutine),
 				options.WithBlockwise(false, 0, time.Second),
 				options.WithTransmission(1, ackTimeout, maxRetransmit),
-				options.WithPeriodicRunner(tick),
+				options.WithPeriodicRunner(retransmitRunner),
 				options.WithInactivityMonitor(time.Hour, func(*client.Conn) {}),
 				options.WithErrors(func(err error) { opt.Logger.Debug("coap", "target", t.Name, "error", err) }),
 			)
@@ -110,7 +110,7 @@
 	g.goroutines.Wait()
 }
 
-// Handler returns the HTTP interface: GET /health/<service>/<target>, PUT
+// Handler returns the handler of the HTTP API: GET /health/<service>/<target>, PUT
 // /control and GET /counts.
 func (g *Group) Handler() http.Handler {
 	mux := http.NewServeMux()
--- a/internal/standin/backend/backend_test.go
+++ b/internal/standin/backend/backend_test.go
@@ -47,8 +47,9 @@
 	return m, nil
 }
 
-// Guards against a backend server that runs more than its slots, queues without
-// bound, or counts a shed or foreign request as run.
+// Guards against a backend server that runs more requests at once than it has
+// slots, queues more than the limit, or counts a rejected request or one of
+// another service as executed.
 func TestSlotsQueueAndShedding(t *testing.T) {
 	g, cc := start(t, "127.83.0.1:5811", 100*time.Millisecond)
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
@@ -76,7 +77,7 @@
 	assert.Equal(t, len(g.Counts().Executions), 3)
 }
 
-// Guards against a cancellation or deadline that leaves the slot occupied.
+// Guards against a cancelled or expired request that keeps its slot.
 func TestCancelAndDeadline(t *testing.T) {
 	g, cc := start(t, "127.83.0.2:5811", time.Second)
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
@@ -105,8 +106,8 @@
 	assert.Equal(t, c.Executions["counter.a.2.1"].Ended, 0)
 }
 
-// Guards against a drain that the health endpoint does not report, or that
-// leaves feeds open after its grace period.
+// Guards against a drain that the health endpoint does not report, or that leaves
+// feeds open after the grace period.
 func TestDrain(t *testing.T) {
 	g, cc := start(t, "127.83.0.3:5811", time.Millisecond)
 	h := httptest.NewServer(g.Handler())
@@ -131,7 +132,7 @@
 	case code := <-ended:
 		assert.Equal(t, code, codes.ServiceUnavailable)
 	case <-time.After(2 * time.Second):
-		t.Fatal("the feed outlived the drain")
+		t.Fatal("feed is still open after the drain grace period")
 	}
 	assert.Equal(t, g.Counts().Targets["counter/t"].FeedsClosedByDrain, 1)
 }
--- a/internal/standin/backend/control.go
+++ b/internal/standin/backend/control.go
@@ -8,25 +8,29 @@
 	"arbutusdock.example/arbutusdock/internal/standin/wire"
 )
 
-// sample is a health report as it was true at one time.
+// healthSample is the health state at one time.
 type healthSample struct {
 	at     time.Time
 	status string
 	load   float64
 }
 
-// Control changes backend servers. Fields that are absent stay as they are.
+// Control is the body of a control request, which changes the behaviour of backend
+// servers. Absent fields change nothing.
 type Control struct {
 	Service string `json:"service"` // empty: all services
 	Target  string `json:"target"`  // empty: all targets
 	State   State  `json:"state"`
-	// HealthLagMS lets the health endpoint report the past.
+	// HealthLagMS is the age, in milliseconds, of the state that the health
+	// endpoint reports.
 	HealthLagMS *int `json:"health_lag_ms"`
-	// Lie is a status to report instead of the true one; "true" ends the lie.
+	// StatusOverride is the status to report instead of the actual one; "true"
+	// removes the override.
 	StatusOverride string `json:"lie"`
-	// Cold starts the cold period, in which requests take three times as long.
+	// ColdStart starts a cold period, in which requests take three times as long.
 	ColdStart bool `json:"cold"`
-	// Mute lets the feeds that are open now stay open and send nothing more.
+	// MuteFeeds stops all notifications of the currently open feeds without closing
+	// the feeds.
 	MuteFeeds bool `json:"mute"`
 }
 
@@ -74,7 +78,7 @@
 	}
 }
 
-// current returns the true state; the caller holds s.mu.
+// currentHealth returns the actual health state; the caller holds s.mu.
 func (s *Server) currentHealth(now time.Time) healthSample {
 	status := map[State]string{Serving: "ok", Draining: "draining", Stopped: "failing"}[s.state]
 	return healthSample{at: now, status: status, load: min(1, float64(s.usedSlots)/float64(max(1, s.target.Slots)))}
@@ -89,7 +93,8 @@
 	}
 }
 
-// report is what the health endpoint says: the state of lag ago, or a lie.
+// reportedHealth returns the state that the health endpoint reports: the actual
+// state healthLag ago, with the status replaced by statusOverride if set.
 func (s *Server) reportedHealth(now time.Time) healthSample {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,13 +126,13 @@
 			panic(http.ErrAbortHandler)
 		}
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(map[string]any{"status": h.status, "load": h.load}) // the client has gone if this fails
+		_ = json.NewEncoder(w).Encode(map[string]any{"status": h.status, "load": h.load}) // fails only if the client has disconnected
 		return
 	}
 	http.NotFound(w, r)
 }
 
-// Counts returns what all servers have counted.
+// Counts returns the counters of all servers.
 func (g *Group) Counts() wire.BackendCounts {
 	c := wire.BackendCounts{Targets: map[string]wire.TargetCounts{}, Executions: g.executions.snapshot()}
 	for _, s := range g.servers {
@@ -142,5 +147,5 @@
 
 func (g *Group) handleCounts(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(g.Counts()) // the client has gone if this fails
+	_ = json.NewEncoder(w).Encode(g.Counts()) // fails only if the client has disconnected
 }
--- a/internal/standin/backend/feeds.go
+++ b/internal/standin/backend/feeds.go
@@ -13,19 +13,19 @@
 	"arbutusdock.example/arbutusdock/internal/standin/wire"
 )
 
-// maxFailedReadings is the number of unacknowledged readings in a row after
-// which a feed is closed.
+// maxFailedNotifications is the number of consecutive unacknowledged notifications
+// after which a feed is closed.
 const maxFailedNotifications = 3
 
-// observer is one feed: the readings of a resource go to a peer.
+// observer is one open feed, which sends the readings of a resource to a peer.
 type observer struct {
-	key    string
+	key    string // peer address and token
 	feed   string
 	token  message.Token
 	conn   *client.Conn
 	cancel context.CancelFunc
 	opened time.Time
-	muted  bool // guarded by Server.mu: stays open, sends nothing more
+	muted  bool // guarded by Server.mu; if set, the feed stays open but sends nothing
 }
 
 func (q *request) feedName() string {
@@ -35,8 +35,8 @@
 	return q.path[len(q.path)-1]
 }
 
-// sequence returns the number of the reading that is current at now and the
-// time of the next one. It is the same on every server.
+// sequenceAt returns the sequence number of the reading that is current at now and
+// the time of the next reading. Both are the same on all servers of the group.
 func (s *Server) sequenceAt(feed string, now time.Time) (seq uint64, next time.Time) {
 	interval := s.group.opt.FeedInterval
 	phase := time.Duration(xxhash.Sum64String(feed) % uint64(interval))
@@ -49,7 +49,7 @@
 	return wire.Reading(s.service, feed, seq)
 }
 
-// maxAge is the time, in seconds, for which a reading is current.
+// readingMaxAge returns the Max-Age of a reading in seconds.
 func (s *Server) readingMaxAge() uint32 {
 	return uint32((3*s.group.opt.FeedInterval + time.Second - 1) / time.Second)
 }
@@ -98,7 +98,7 @@
 	}
 }
 
-// remove closes a feed; the caller holds s.mu.
+// removeObserver closes a feed; the caller holds s.mu.
 func (s *Server) removeObserver(o *observer) {
 	o.cancel()
 	if s.observers[o.key] == o {
@@ -106,7 +106,8 @@
 	}
 }
 
-// push sends a confirmable notification for each reading until the feed ends.
+// sendNotifications sends a confirmable notification for each reading until the
+// feed ends.
 func (s *Server) sendNotifications(ctx context.Context, o *observer, next time.Time) {
 	defer func() {
 		s.mu.Lock()
@@ -124,17 +125,17 @@
 		var seq uint64
 		seq, next = s.sequenceAt(o.feed, time.Now())
 		s.mu.Lock()
-		quiet := o.muted || s.state == Stopped
-		cut := s.state == Draining && time.Since(s.stateSince) > s.group.opt.DrainGrace
-		if cut {
+		muted := o.muted || s.state == Stopped
+		graceExpired := s.state == Draining && time.Since(s.stateSince) > s.group.opt.DrainGrace
+		if graceExpired {
 			s.counts.FeedsClosedByDrain++
 		}
 		s.mu.Unlock()
 		switch {
-		case quiet:
-		case cut:
+		case muted:
+		case graceExpired:
 			s.group.opt.Logger.Warn("feed-cut", "target", s.target.Name, "feed", o.feed, "peer", o.conn.RemoteAddr(), "open_for", time.Since(o.opened))
-			_ = s.sendNotification(ctx, o, codes.ServiceUnavailable, nil, seq) // the feed ends either way
+			_ = s.sendNotification(ctx, o, codes.ServiceUnavailable, nil, seq) // the feed is closed even if this fails
 			return
 		case s.sendNotification(ctx, o, codes.Content, wire.Reading(s.service, o.feed, seq), seq) == nil:
 			failed = 0
@@ -158,14 +159,14 @@
 		m.SetObserve(uint32(seq & 0xffffff))
 		m.SetOptionUint32(message.MaxAge, s.readingMaxAge())
 	}
-	k := messageKey{peer: o.conn.RemoteAddr().String(), messageID: m.MessageID()}
+	key := messageKey{peer: o.conn.RemoteAddr().String(), messageID: m.MessageID()}
 	s.mu.Lock()
-	s.notifications[k] = o
+	s.notifications[key] = o
 	s.mu.Unlock()
 	defer func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		delete(s.notifications, k)
+		delete(s.notifications, key)
 	}()
 	return o.conn.WriteMessage(m)
 }
--- a/internal/standin/backend/handle.go
+++ b/internal/standin/backend/handle.go
@@ -21,26 +21,28 @@
 type responseWriter = responsewriter.ResponseWriter[*client.Conn]
 
 const (
-	// separateAfter is the run time from which a request is acknowledged at
-	// once and answered separately, so that its sender does not retransmit.
+	// separateResponseMinRunTime is the run time from which a request is
+	// acknowledged immediately and answered with a separate response, so that the
+	// sender does not retransmit it.
 	separateResponseMinRunTime = 150 * time.Millisecond
-	// respondFor bounds the transmission of a separate response.
+	// separateResponseTimeout limits the time from the start of a request until its
+	// separate response is acknowledged.
 	separateResponseTimeout = 10 * time.Second
-	defaultContentSize      = 300      // size of an ordinary content
+	defaultContentSize      = 300      // size of an ordinary response content
 	certificateSize         = 4 << 10  // size of an ordinary certificate
 	largeCertificateSize    = 60 << 10 // size of a large certificate
 	blockSZX                = 6        // blocks of 1024 bytes
 	blockSize               = 16 << blockSZX
 )
 
-// request is the part of a CoAP request that the stand-in reads.
+// request holds the parts of a CoAP request that the stand-in evaluates.
 type request struct {
 	id        wire.ID
-	outcomeOf string // operation whose outcome is asked for
+	outcomeOf string // operation id of an outcome query; empty otherwise
 	path      []string
 	token     message.Token
 	post      bool
-	observe   int // -1: absent
+	observe   int // -1: option absent
 	block     int // number of the requested block
 	large     bool
 	deadline  time.Duration // 0: none
@@ -56,7 +58,7 @@
 			k, v, _ := strings.Cut(string(o.Value), "=")
 			switch k {
 			case "id":
-				q.id, _ = wire.ParseID(v) // a malformed id counts as a foreign request
+				q.id, _ = wire.ParseID(v) // a malformed id is handled as a request of another service
 			case "op":
 				q.outcomeOf = v
 			}
@@ -81,23 +83,24 @@
 	return binary.BigEndian.Uint64(v[:])
 }
 
-// handle answers one request; see request for what it reads.
+// handle processes one received message and responds if it is a request.
 func (s *Server) handle(w *responseWriter, r *pool.Message) {
 	if r.Code() < codes.GET || r.Code() > codes.DELETE {
 		return // a response or an empty message
 	}
 	q := parseRequest(r)
-	k := messageKey{peer: w.Conn().RemoteAddr().String(), messageID: r.MessageID()}
-	// go-coap's deregistration carries the path but no query, hence no id.
-	foreign := q.id.Service != s.service && q.observe != 1
+	key := messageKey{peer: w.Conn().RemoteAddr().String(), messageID: r.MessageID()}
+	// A deregistration sent by go-coap contains the path but no query, so it has no
+	// request id.
+	wrongService := q.id.Service != s.service && q.observe != 1
 	s.mu.Lock()
 	s.counts.Requests++
-	if foreign {
+	if wrongService {
 		s.counts.WrongService++
 	}
 	s.mu.Unlock()
 	switch {
-	case foreign:
+	case wrongService:
 		s.setResponse(w.Message(), codes.NotFound, nil, 0)
 	case q.outcomeOf != "":
 		state := "none"
@@ -108,33 +111,33 @@
 	case q.observe == 0:
 		s.registerObserver(w, q)
 	case q.observe == 1:
-		s.deregisterObserver(k.peer, q.token)
+		s.deregisterObserver(key.peer, q.token)
 		s.setResponse(w.Message(), codes.Content, s.currentReading(q.feedName()), 0)
 	case q.block > 0:
 		s.group.executions.countBlock(q.id)
 		s.setResponse(w.Message(), codes.Content, s.responseContent(q), q.block)
 	default:
-		s.handleExecution(w, q, k)
+		s.handleExecution(w, q, key)
 	}
 }
 
-// run executes a request and responds with the ACK, or separately when the
-// request takes long.
-func (s *Server) handleExecution(w *responseWriter, q request, k messageKey) {
+// handleExecution executes a request. The response is piggybacked on the ACK, or
+// sent separately if the request takes long.
+func (s *Server) handleExecution(w *responseWriter, q request, key messageKey) {
 	ctx, stop := context.Background(), context.CancelFunc(func() {})
 	if q.deadline > 0 {
 		ctx, stop = context.WithTimeout(ctx, q.deadline)
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	s.mu.Lock()
-	s.cancelFuncs[k] = cancel
+	s.cancelFuncs[key] = cancel
 	s.mu.Unlock()
 	finish := func(m *pool.Message) bool {
 		err := s.execute(ctx, q.id, q.post, q.large)
 		cancel(nil)
 		stop()
 		s.mu.Lock()
-		delete(s.cancelFuncs, k)
+		delete(s.cancelFuncs, key)
 		s.mu.Unlock()
 		return s.setResult(m, q, err)
 	}
@@ -150,13 +153,13 @@
 		defer cc.ReleaseMessage(m)
 		m.SetToken(q.token)
 		if finish(m) {
-			_ = cc.WriteMessage(m) // without an ACK the sender's deadline ends the request
+			_ = cc.WriteMessage(m) // if no ACK arrives, the sender's deadline ends the request
 		}
 	}()
 }
 
-// outcome sets the response for the result of an execution. It returns false
-// when there is nothing to respond.
+// setResult sets the response for the result of an execution. It returns false if
+// no response is to be sent.
 func (s *Server) setResult(m *pool.Message, q request, err error) bool {
 	switch {
 	case err == nil:
@@ -189,9 +192,9 @@
 	return wire.Content(s.service, q.id.String(), "ran", size)
 }
 
-// respond sets code and content, and cuts out one block if the content does
-// not fit into one. The blocks of a content can come from any server, since the
-// entity tag depends on the content only.
+// setResponse sets the code and content of a response. If the content exceeds one
+// block, only the requested block is set. The blocks of one content can come from
+// different servers, since the entity tag depends only on the content.
 func (s *Server) setResponse(m *pool.Message, code codes.Code, content []byte, block int) {
 	m.SetCode(code)
 	if content == nil {
--- a/internal/standin/backend/ledger.go
+++ b/internal/standin/backend/ledger.go
@@ -7,12 +7,13 @@
 	"arbutusdock.example/arbutusdock/internal/standin/wire"
 )
 
-// ledger counts executions by request id for all servers of a group. It is
-// what the callers would find in the application's own records.
+// executionCounter counts executions by request id for all servers of a group. It
+// stands for the records of the application, in which callers can look up whether
+// a request was executed.
 type executionCounter struct {
 	mu          *sync.Mutex
 	byRequest   map[string]wire.ExecutionCounts
-	byOperation map[string]int // executions by operation
+	byOperation map[string]int // number of executions by operation id
 }
 
 func newExecutionCounter() executionCounter {
@@ -41,7 +42,7 @@
 	l.update(id.String(), func(r *wire.ExecutionCounts) { r.Blocks++ })
 }
 
-// ran reports whether any attempt of the operation was executed.
+// hasRun reports whether an attempt of the operation was executed.
 func (l *executionCounter) hasRun(op string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/standin/backend/server.go
+++ b/internal/standin/backend/server.go
@@ -18,26 +18,26 @@
 	"arbutusdock.example/arbutusdock/internal/standin/wire"
 )
 
-// State is what a backend server does with its traffic.
+// State determines how a backend server handles requests.
 type State string
 
 // States of a backend server.
 const (
 	Serving  State = "serving"
-	Draining State = "draining" // still answers, but nothing new should arrive
-	Stopped  State = "stopped"  // answers nothing at all
+	Draining State = "draining" // still responds, but should get no new work
+	Stopped  State = "stopped"  // drops all messages
 )
 
-// lateWorkAfter is the time after the start of a drain from which new work is
+// lateWorkThreshold is the time after the start of a drain from which new work is
 // counted as late.
 const lateWorkThreshold = 5 * time.Second
 
 var (
 	errCancelled  = errors.New("cancelled by RST")
-	errOverloaded = errors.New("no slot and no room in the queue")
+	errOverloaded = errors.New("no free slot and the queue is full")
 )
 
-// exchange identifies a message of a peer.
+// messageKey identifies a message by its peer and CoAP message id.
 type messageKey struct {
 	peer      string
 	messageID int32
@@ -52,16 +52,16 @@
 
 	mu             sync.Mutex
 	state          State
-	stateSince     time.Time // start of state
-	coldUntil      time.Time // end of the cold period
-	statusOverride string    // reported status instead of the true one
-	healthLag      time.Duration
+	stateSince     time.Time     // time at which state was entered
+	coldUntil      time.Time     // end of the cold period
+	statusOverride string        // status to report instead of the actual one; empty: none
+	healthLag      time.Duration // age of the reported health state
 	healthHistory  []healthSample
 	usedSlots      int
-	slotWaiters    []chan struct{}
-	cancelFuncs    map[messageKey]context.CancelCauseFunc
-	observers      map[string]*observer
-	notifications  map[messageKey]*observer
+	slotWaiters    []chan struct{}                        // requests that wait for a slot, in order of arrival
+	cancelFuncs    map[messageKey]context.CancelCauseFunc // of the requests in progress
+	observers      map[string]*observer                   // open feeds by observer.key
+	notifications  map[messageKey]*observer               // unacknowledged notifications
 	counts         wire.TargetCounts
 }
 
@@ -74,14 +74,16 @@
 	}
 }
 
-// inGoroutine lets a slow request of a peer not delay its other messages. The
-// handler holds a lock per message id, so duplicates still run once only.
+// processInGoroutine processes each message in its own goroutine, so that a slow
+// request does not delay other messages of the same peer. go-coap holds a lock for
+// each message id, so duplicates are still executed only once.
 func processInGoroutine(r *pool.Message, cc *client.Conn, handler coapconfig.HandlerFunc[*client.Conn]) {
 	go cc.ProcessReceivedMessageWithHandler(r, handler)
 }
 
-// monitor sees each message before go-coap does. An RST with the message id of
-// a request cancels it; an RST with that of a notification ends the feed.
+// filterMessage is called for each message before go-coap processes it. An RST with
+// the message id of a request cancels the request; one with the message id of a
+// notification closes the feed. In state Stopped all messages are dropped.
 func (s *Server) filterMessage(cc *client.Conn, r *pool.Message) (drop bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,18 +93,17 @@
 	if r.Type() != message.Reset {
 		return false, nil
 	}
-	k := messageKey{peer: cc.RemoteAddr().String(), messageID: r.MessageID()}
-	if cancel, ok := s.cancelFuncs[k]; ok {
+	key := messageKey{peer: cc.RemoteAddr().String(), messageID: r.MessageID()}
+	if cancel, ok := s.cancelFuncs[key]; ok {
 		cancel(errCancelled)
 	}
-	if o, ok := s.notifications[k]; ok {
+	if o, ok := s.notifications[key]; ok {
 		s.removeObserver(o)
 	}
 	return false, nil
 }
 
-// execute runs one request in a slot. It returns nil when the request ran to
-// its end.
+// execute runs one request in a slot. It returns nil if the request completed.
 func (s *Server) execute(ctx context.Context, id wire.ID, post, long bool) error {
 	if err := s.acquireSlot(ctx); err != nil {
 		return err
@@ -152,25 +153,25 @@
 		s.mu.Unlock()
 		return errOverloaded
 	}
-	turn := make(chan struct{})
-	s.slotWaiters = append(s.slotWaiters, turn)
+	granted := make(chan struct{})
+	s.slotWaiters = append(s.slotWaiters, granted)
 	s.mu.Unlock()
 	select {
-	case <-turn:
+	case <-granted:
 		return nil
 	case <-ctx.Done():
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if i := slices.Index(s.slotWaiters, turn); i >= 0 {
+	if i := slices.Index(s.slotWaiters, granted); i >= 0 {
 		s.slotWaiters = slices.Delete(s.slotWaiters, i, i+1)
 		s.counts.Shed++
-		return errOverloaded // not run, whatever ended the wait
+		return errOverloaded // not run, whether cancelled or expired
 	}
-	return nil // the slot was granted at the same moment
+	return nil // the slot was granted at the same time
 }
 
-// start takes a slot; the caller holds s.mu.
+// takeSlot marks a slot as used; the caller holds s.mu.
 func (s *Server) takeSlot() {
 	s.usedSlots++
 	s.counts.Executions++
--- a/internal/standin/caller/caller.go
+++ b/internal/standin/caller/caller.go
@@ -1,6 +1,6 @@
-// Package caller is the stand-in for the callers of both users: an unmodified
-// go-coap client that runs their mixes of requests and feeds, verifies every
-// answer and counts what did not arrive.
+// Package caller is the stand-in for the callers of both users: a load generator
+// on an unmodified go-coap client, which sends the mix of requests and feeds of one
+// user, verifies each response and counts failures.
 package caller
 
 import (
@@ -31,17 +31,18 @@
 	OutcomeQuery     = "outcome query"
 )
 
-// largeShare is the share of certificates that take long to produce.
+// largeCertificateShare is the fraction of certificate requests that are for large
+// certificates, which take long to produce.
 const largeCertificateShare = 0.02
 
-// Source is a stream of operations of one class.
+// Source describes a stream of operations of one class.
 type Source struct {
 	Class   string
 	Service string
-	Rate    float64 // operations a second over all callers
+	Rate    float64 // operations per second over all callers
 }
 
-// FeedSource is a number of open feeds of one class.
+// FeedSource describes a set of open feeds of one class.
 type FeedSource struct {
 	Class   string
 	Service string
@@ -49,7 +50,7 @@
 	Count   int
 }
 
-// Options configure a Caller.
+// Options configures a Generator.
 type Options struct {
 	User         string
 	PublicIPs    map[string]netip.Addr // public IP by data centre
@@ -57,21 +58,21 @@
 	Sources      []Source
 	Feeds        []FeedSource
 	PartnerHosts []string   // Uri-Host of the partners
-	FirstLocalIP netip.Addr // first of the callers' own IPs
-	Callers      int        // callers by service and data centre
+	FirstLocalIP netip.Addr // source IP address of the first caller; the next callers use the following ones, up to .240
+	Callers      int        // number of callers for each service and data centre
 	Duration     time.Duration
-	Deadline     time.Duration // for an answer, before retransmission is taken into account
+	Deadline     time.Duration // time limit of a response, without the time for retransmissions
 	// AckTimeout is the transmission parameter ACK_TIMEOUT of CoAP; 0: 500 ms.
 	AckTimeout      time.Duration
-	RefreshInterval time.Duration // of the registration of a feed
-	SilenceTimeout  time.Duration // time without a reading after which a feed is silent
-	BurstFactor     float64       // factor of the demand in a burst: 2 s in every 10 s; 0 or 1: steady
-	ZipfExponent    float64       // exponent (above 1) of the demand over resources; 0: uniform
+	RefreshInterval time.Duration // interval at which the registration of a feed is refreshed
+	SilenceTimeout  time.Duration // time without a reading after which a feed counts as silent
+	BurstFactor     float64       // factor of the rate during 2 s of every 10 s; 0 or 1: constant rate
+	ZipfExponent    float64       // exponent (above 1) of the Zipf distribution of requests over resources; 0: uniform
 	Seed            int64
 }
 
-// Mix returns the sources of a user at a total of rate requests a second and
-// with the given number of feeds.
+// Mix returns the sources of a user for a total of rate requests per second and
+// the given number of feeds.
 func Mix(user string, rate float64, feeds int) ([]Source, []FeedSource, error) {
 	switch user {
 	case "board":
@@ -89,139 +90,139 @@
 	return nil, nil, fmt.Errorf("unknown user %q: want board or kelani", user)
 }
 
-// Caller runs the mix of one user.
+// Generator generates the load of one user.
 type Generator struct {
 	opt   Options
 	stats *stats
-	conns map[string][]*callerConn // by service
+	conns map[string][]*callerConn // by service, or "feed " and service
 }
 
-// New opens the connections of all callers.
+// New returns a Generator and opens the connections of all its callers.
 func New(ctx context.Context, opt Options) (*Generator, error) {
 	if opt.AckTimeout == 0 {
 		opt.AckTimeout = defaultAckTimeout
 	}
-	c := &Generator{opt: opt, stats: newStats(opt.User), conns: map[string][]*callerConn{}}
+	g := &Generator{opt: opt, stats: newStats(opt.User), conns: map[string][]*callerConn{}}
 	d := &dialer{retransmitRunner: periodic.New(ctx.Done(), retransmitCheckInterval), ackTimeout: opt.AckTimeout}
 	services := map[string]bool{}
 	for _, s := range opt.Sources {
 		services[s.Service] = true
 	}
 	for s := range services {
-		if err := c.openConns(d, s, opt.Callers, s); err != nil {
+		if err := g.openConns(d, s, opt.Callers, s); err != nil {
 			return nil, err
 		}
 	}
 	for _, s := range opt.Feeds {
-		// Feeds have connections of their own: go-coap skips half of its message
-		// ids whenever a confirmable notification comes close to them.
-		if err := c.openConns(d, s.Service, (s.Count+1)/2, "feed "+s.Service); err != nil {
+		// Feeds use separate connections: go-coap skips half of its message ids
+		// whenever a confirmable notification has a message id close to them.
+		if err := g.openConns(d, s.Service, (s.Count+1)/2, "feed "+s.Service); err != nil {
 			return nil, err
 		}
 	}
-	return c, nil
+	return g, nil
 }
 
-func (c *Generator) openConns(d *dialer, service string, count int, key string) error {
+func (g *Generator) openConns(d *dialer, service string, count int, key string) error {
 	var dcs []string
-	for dc := range c.opt.PublicIPs {
+	for dc := range g.opt.PublicIPs {
 		dcs = append(dcs, dc)
 	}
 	sort.Strings(dcs)
-	local := c.opt.FirstLocalIP
+	local := g.opt.FirstLocalIP
 	for _, dc := range dcs {
 		for i := range count {
-			to := netip.AddrPortFrom(c.opt.PublicIPs[dc], c.opt.Ports[service])
+			to := netip.AddrPortFrom(g.opt.PublicIPs[dc], g.opt.Ports[service])
 			cc, err := d.dial(local, to)
 			if err != nil {
 				return err
 			}
-			n := &callerConn{caller: fmt.Sprintf("%s-%s-%d", c.opt.User, dc, len(c.conns[key])), coap: cc}
+			conn := &callerConn{caller: fmt.Sprintf("%s-%s-%d", g.opt.User, dc, len(g.conns[key])), coap: cc}
 			if key != service {
-				n.caller += "f"
+				conn.caller += "f"
 			}
-			if len(c.opt.PartnerHosts) > 0 {
-				n.host = c.opt.PartnerHosts[i%len(c.opt.PartnerHosts)]
+			if len(g.opt.PartnerHosts) > 0 {
+				conn.host = g.opt.PartnerHosts[i%len(g.opt.PartnerHosts)]
 			}
-			c.conns[key] = append(c.conns[key], n)
+			g.conns[key] = append(g.conns[key], conn)
 			local = local.Next()
 			if b := local.As4(); b[3] > 240 {
-				local = c.opt.FirstLocalIP
+				local = g.opt.FirstLocalIP
 			}
 		}
 	}
 	return nil
 }
 
-// Run runs the mix for the duration, waits for the answers of all requests and
-// returns the counts.
-func (c *Generator) Run(ctx context.Context) wire.CallerResult {
+// Run generates load for Options.Duration, waits until all operations have ended
+// and returns the counters.
+func (g *Generator) Run(ctx context.Context) wire.CallerResult {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var requests, feeds sync.WaitGroup
-	for i, s := range c.opt.Feeds {
-		conns := c.conns["feed "+s.Service]
+	for i, s := range g.opt.Feeds {
+		conns := g.conns["feed "+s.Service]
 		for n := range s.Count {
 			f := &feed{
-				generator: c, conn: conns[n%len(conns)], class: s.Class, service: s.Service,
+				generator: g, conn: conns[n%len(conns)], class: s.Class, service: s.Service,
 				path: fmt.Sprintf("%s%d", s.Path, n), operation: uint64(1+i)<<32 + uint64(n),
 			}
-			c.stats.updateClass(s.Class, func(k *wire.ClassCounts) { k.Started++ })
+			g.stats.updateClass(s.Class, func(k *wire.ClassCounts) { k.Started++ })
 			feeds.Go(func() { f.run(ctx) })
 		}
 	}
-	for i, s := range c.opt.Sources {
-		requests.Go(func() { c.generateOperations(ctx, s, int64(i), &requests) })
+	for i, s := range g.opt.Sources {
+		requests.Go(func() { g.generateOperations(ctx, s, int64(i), &requests) })
 	}
 	requests.Wait()
 	cancel()
 	feeds.Wait()
-	for _, conns := range c.conns {
-		for _, n := range conns {
-			_ = n.coap.Close()
+	for _, conns := range g.conns {
+		for _, conn := range conns {
+			_ = conn.coap.Close()
 		}
 	}
-	return c.stats.summary()
+	return g.stats.summary()
 }
 
-// generate starts the operations of one source as a Poisson process.
-func (c *Generator) generateOperations(ctx context.Context, s Source, index int64, all *sync.WaitGroup) {
-	rng := rand.New(rand.NewSource(c.opt.Seed + index))
-	choose := func(n uint64) uint64 { return uint64(rng.Int63n(int64(n))) }
-	if c.opt.ZipfExponent > 1 {
-		zipf := rand.NewZipf(rng, c.opt.ZipfExponent, 1, 1<<20)
-		choose = func(n uint64) uint64 { return zipf.Uint64() % n }
+// generateOperations starts the operations of one source as a Poisson process.
+func (g *Generator) generateOperations(ctx context.Context, s Source, index int64, requests *sync.WaitGroup) {
+	rng := rand.New(rand.NewSource(g.opt.Seed + index))
+	pickResource := func(n uint64) uint64 { return uint64(rng.Int63n(int64(n))) }
+	if g.opt.ZipfExponent > 1 {
+		zipf := rand.NewZipf(rng, g.opt.ZipfExponent, 1, 1<<20)
+		pickResource = func(n uint64) uint64 { return zipf.Uint64() % n }
 	}
-	conns := slices.Clone(c.conns[s.Service])
+	conns := slices.Clone(g.conns[s.Service])
 	began := time.Now()
 	next := began
 	for number := uint64(index+1) << 40; ; number++ {
 		rate := s.Rate
-		if c.opt.BurstFactor > 1 && int(time.Since(began)/time.Second)%10 >= 8 {
-			rate *= c.opt.BurstFactor
+		if g.opt.BurstFactor > 1 && int(time.Since(began)/time.Second)%10 >= 8 {
+			rate *= g.opt.BurstFactor
 		}
 		next = next.Add(time.Duration(rng.ExpFloat64() / rate * float64(time.Second)))
-		if next.Sub(began) > c.opt.Duration || !sleep(ctx, time.Until(next)) {
+		if next.Sub(began) > g.opt.Duration || !sleep(ctx, time.Until(next)) {
 			return
 		}
 		op := operation{class: s.Class, service: s.Service}
 		switch s.Class {
 		case Watch:
-			op.path = fmt.Sprintf("/depots/%d", choose(200))
+			op.path = fmt.Sprintf("/depots/%d", pickResource(200))
 		case Claim:
-			op.path, op.post = fmt.Sprintf("/lots/%d", choose(500)), true
+			op.path, op.post = fmt.Sprintf("/lots/%d", pickResource(500)), true
 		case Slip:
-			op.path = fmt.Sprintf("/slips/%d", choose(1000))
+			op.path = fmt.Sprintf("/slips/%d", pickResource(1000))
 		case CheckIn:
-			op.path, op.post = fmt.Sprintf("/passes/%d", choose(500)), true
+			op.path, op.post = fmt.Sprintf("/passes/%d", pickResource(500)), true
 		case Certificate:
-			op.path = fmt.Sprintf("/certificates/%d", choose(200))
+			op.path = fmt.Sprintf("/certificates/%d", pickResource(200))
 			if rng.Float64() < largeCertificateShare {
 				op.class, op.large = LargeCertificate, true
-				op.path = fmt.Sprintf("/certificates/large%d", choose(4))
+				op.path = fmt.Sprintf("/certificates/large%d", pickResource(4))
 			}
 		}
 		n, conn := number, conns[rng.Intn(len(conns))]
-		all.Go(func() { c.perform(ctx, conn, op, n) })
+		requests.Go(func() { g.perform(ctx, conn, op, n) })
 	}
 }
--- a/internal/standin/caller/caller_test.go
+++ b/internal/standin/caller/caller_test.go
@@ -31,7 +31,7 @@
 
 var ports = map[string]uint16{"counter": 5801, "slip": 5802, "alarm": 5803, "certificate": 5804}
 
-// startBackends runs one backend server of each service at ip.
+// startBackends starts one backend server for each service at ip.
 func startBackends(t *testing.T, ip string) *backend.Group {
 	t.Helper()
 	opt := backend.Options{
@@ -50,7 +50,8 @@
 	return g
 }
 
-// runMix runs the mix of a user against the public address ip.
+// runMix generates the load of a user against the public address ip and returns
+// the counters.
 func runMix(t *testing.T, user, ip string, change func(*Options)) wire.CallerResult {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -70,8 +71,8 @@
 	return c.Run(ctx)
 }
 
-// Guards against stand-ins that report faults where there are none: a caller
-// straight at the backend servers finds every promise kept.
+// Guards against stand-ins that report failures of their own: callers connected
+// directly to the backend servers must see no violated guarantee.
 func TestCallerAndBackend(t *testing.T) {
 	g := startBackends(t, "127.82.0.1")
 	for _, user := range []string{"board", "kelani"} {
@@ -87,15 +88,16 @@
 	}
 }
 
-// forward is an instance that passes every datagram to one backend server and
-// back, with one socket for each caller.
+// forward acts as an instance: it forwards datagrams between callers and the
+// backend servers at one IP address, with one upstream socket for each caller and
+// port.
 func forward(t *testing.T, ip, to string) {
 	t.Helper()
 	for _, port := range ports {
 		c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(ip), Port: int(port)})
 		assert.NilError(t, err)
 		t.Cleanup(func() { _ = c.Close() })
-		up := map[netip.AddrPort]*net.UDPConn{}
+		upstreams := map[netip.AddrPort]*net.UDPConn{}
 		go func() {
 			buf := make([]byte, 2000)
 			for {
@@ -103,25 +105,26 @@
 				if err != nil {
 					return
 				}
-				if up[from] == nil {
+				if upstreams[from] == nil {
 					u, _ := net.DialUDP("udp4", nil, &net.UDPAddr{IP: net.ParseIP(to), Port: int(port)})
 					t.Cleanup(func() { _ = u.Close() })
-					up[from] = u
+					upstreams[from] = u
 					go func() {
-						back := make([]byte, 2000)
-						for n, err := u.Read(back); err == nil; n, err = u.Read(back) {
-							_, _ = c.WriteToUDPAddrPort(back[:n], from)
+						replyBuf := make([]byte, 2000)
+						for n, err := u.Read(replyBuf); err == nil; n, err = u.Read(replyBuf) {
+							_, _ = c.WriteToUDPAddrPort(replyBuf[:n], from)
 						}
 					}()
 				}
-				_, _ = up[from].Write(buf[:n])
+				_, _ = upstreams[from].Write(buf[:n])
 			}
 		}()
 	}
 }
 
-// Guards against a fabric that breaks what it forwards: with losses, duplicates
-// and reordering, go-coap's retransmission still gets every answer.
+// Guards against a fabric that corrupts or permanently drops traffic: despite
+// losses, duplicates and reordering, go-coap's retransmissions must get a response
+// to each request.
 func TestCallerThroughFabric(t *testing.T) {
 	g := startBackends(t, "127.82.0.2")
 	forward(t, "127.82.1.1", "127.82.0.2")
@@ -152,11 +155,11 @@
 	assert.Assert(t, n.Lost > 0 && n.Duplicated > 0 && n.Reordered > 0, "%+v", n)
 }
 
-// Guards against a caller that runs a claim anew after "outcome unknown", drops
-// the admission token, or does not come back after a 5.03.
+// Guards against a caller that repeats a claim after "outcome unknown", does not
+// send the admission token, or does not retry after a 5.03.
 func TestCallerHandlesRefusals(t *testing.T) {
 	var mu sync.Mutex
-	seen := map[string]int{} // requests by path and kind
+	seen := map[string]int{} // number of requests by kind, or by path and query
 	handler := func(w *responsewriter.ResponseWriter[*client.Conn], r *pool.Message) {
 		p, _ := r.Path()
 		queries, _ := r.Queries()
--- a/internal/standin/caller/conn.go
+++ b/internal/standin/caller/conn.go
@@ -19,26 +19,28 @@
 )
 
 const (
-	// shortAckTimeout is the transmission parameter of callers for which the
-	// options name none. A quarter of the default of RFC 7252 section 4.8, it lets
-	// a test see several retransmissions.
+	// defaultAckTimeout is ACK_TIMEOUT if the options set none. It is a quarter of
+	// the default of RFC 7252 section 4.8, so that several retransmissions fit into
+	// a test.
 	defaultAckTimeout = 500 * time.Millisecond
 	maxRetransmit     = 4 // as in RFC 7252 section 4.8
-	// retransmitTick is the interval at which go-coap looks for messages to
-	// retransmit. Its default of 4 s is longer than the time to the first one.
+	// retransmitCheckInterval is the interval at which go-coap checks for messages
+	// to retransmit. Its default of 4 s is longer than the time to the first
+	// retransmission.
 	retransmitCheckInterval = 50 * time.Millisecond
-	// parallel is the number of requests of one connection at a time; go-coap's
-	// default of 1 would delay a request behind another one of the same caller.
+	// maxParallelRequests limits the concurrent requests of one connection. With
+	// go-coap's default of 1 a request would wait for the previous one of its caller.
 	maxParallelRequests = 64
 	blockSZX            = 6 // blocks of 1024 bytes
 )
 
-// transmitSpan is MAX_TRANSMIT_SPAN: from the first transmission to the last.
+// maxTransmitSpan returns MAX_TRANSMIT_SPAN (RFC 7252 section 4.8.2): the maximum
+// time from the first transmission of a message to its last retransmission.
 func (o *Options) maxTransmitSpan() time.Duration {
 	return o.AckTimeout * (1<<maxRetransmit - 1) * 3 / 2
 }
 
-// dialer opens the connections of one caller process.
+// dialer opens the CoAP connections of one caller process.
 type dialer struct {
 	retransmitRunner periodic.Func
 	ackTimeout       time.Duration
@@ -53,32 +55,32 @@
 		options.WithLimitClientEndpointParallelRequest(maxParallelRequests),
 		options.WithBlockwise(false, blockwise.SZX1024, time.Second),
 		options.WithReceivedMessageQueueSize(maxParallelRequests),
-		options.WithErrors(func(error) {}), // time-outs are counted by the operations
+		options.WithErrors(func(error) {}), // operations count timeouts themselves
 	)
 	return cc, eris.Wrapf(err, "dial %s from %s", to, local)
 }
 
-// conn is one caller.
+// callerConn is the connection of one caller.
 type callerConn struct {
-	caller string
+	caller string // caller name in request ids
 	host   string // Uri-Host, which names the partner
 	coap   *client.Conn
 }
 
-// question is one request as it is sent, possibly several times.
+// request holds the parameters of a request, which may be sent several times.
 type request struct {
 	code      codes.Code
 	path      string
 	id        string
 	echo      []byte
-	outcomeOf string // operation whose outcome is asked for
-	// block is the number of the requested block of a large response. The
-	// library's own transfer is not used: it writes the request for a follow-up
-	// block into the ACK when the response was separate, and never retransmits it.
+	outcomeOf string // operation id of an outcome query; empty otherwise
+	// block is the number of the requested block of a large response. go-coap's own
+	// block-wise transfer is not used: after a separate response it puts the request
+	// for the next block into the ACK and never retransmits it.
 	block uint32
 }
 
-// answer is what the caller reads of a response.
+// response holds the parts of a response that the caller evaluates.
 type response struct {
 	code   codes.Code
 	body   []byte
@@ -88,7 +90,7 @@
 	more   bool // further blocks follow
 }
 
-// build returns a message for q; the connection assigns the message id.
+// newMessage returns a message for q; go-coap assigns the message id.
 func (c *callerConn) newMessage(ctx context.Context, q request) (*pool.Message, error) {
 	token, err := message.GetToken()
 	if err != nil {
@@ -108,7 +110,7 @@
 	if len(q.echo) > 0 {
 		if err := m.SetEcho(q.echo); err != nil {
 			c.coap.ReleaseMessage(m)
-			return nil, eris.Wrap(err, "echo option")
+			return nil, eris.Wrap(err, "set Echo option")
 		}
 	}
 	if q.block > 0 {
@@ -120,7 +122,7 @@
 	return m, nil
 }
 
-// ask sends q and waits for its response.
+// roundTrip sends q and waits for the response.
 func (c *callerConn) roundTrip(ctx context.Context, q request) (response, error) {
 	m, err := c.newMessage(ctx, q)
 	if err != nil {
@@ -134,7 +136,7 @@
 	defer c.coap.ReleaseMessage(r)
 	a := response{code: r.Code(), maxAge: 60 * time.Second}
 	if a.body, err = r.ReadBody(); err != nil {
-		return response{}, eris.Wrapf(err, "body of %s", q.id)
+		return response{}, eris.Wrapf(err, "read response body of request %s", q.id)
 	}
 	if e, err := r.Echo(); err == nil {
 		a.echo = bytes.Clone(e)
@@ -147,7 +149,7 @@
 	}
 	if v, err := r.GetOptionUint32(message.Block2); err == nil {
 		if v>>4 != q.block {
-			return response{}, eris.Errorf("request %s: block %d instead of %d", q.id, v>>4, q.block)
+			return response{}, eris.Errorf("request %s: got block %d, want %d", q.id, v>>4, q.block)
 		}
 		a.more = v&8 != 0
 	}
--- a/internal/standin/caller/feed.go
+++ b/internal/standin/caller/feed.go
@@ -16,38 +16,38 @@
 )
 
 const (
-	// registerFor bounds a registration or a refresh.
+	// registerTimeout limits a registration or a refresh.
 	registerTimeout = 5 * time.Second
-	// registerPause is the wait between two attempts to register.
+	// registerRetryDelay is the delay before another attempt to register.
 	registerRetryDelay = 500 * time.Millisecond
-	// feedCheck is the interval at which a feed is checked for silence.
+	// feedCheckInterval is the interval at which the state of a feed is checked.
 	feedCheckInterval = 100 * time.Millisecond
 )
 
-// feed is one open feed of a caller.
+// feed is one feed of a caller.
 type feed struct {
 	generator *Generator
 	conn      *callerConn
 	class     string
 	service   string
 	path      string
-	operation uint64
+	operation uint64 // operation number in request ids
 
 	mu          sync.Mutex
 	token       message.Token
 	attempt     int
 	maxSeq      uint64
-	lastReading time.Time // of the last reading; zero before the first
-	endReason   string    // reason for which the feed ended
-	openBreak   *wire.Failure
+	lastReading time.Time     // time of the last reading; zero before the first
+	endReason   string        // response code that ended the feed; empty while it is open
+	openBreak   *wire.Failure // current interruption; nil: none
 }
 
 func (f *feed) id() string {
 	return wire.ID{Service: f.service, Caller: f.conn.caller, Operation: f.operation, Attempt: f.attempt}.String()
 }
 
-// run holds the feed open until ctx ends. It refreshes the registration, and
-// registers again when the feed has ended or is silent.
+// run keeps the feed registered until ctx is cancelled. It refreshes the
+// registration, and registers anew if the feed has ended or is silent.
 func (f *feed) run(ctx context.Context) {
 	opt := f.generator.opt
 	cancel := f.register(ctx)
@@ -81,13 +81,14 @@
 	}
 	f.mu.Lock()
 	if f.openBreak != nil {
-		f.generator.stats.addFailure(*f.openBreak) // never came back: End is 0
+		f.generator.stats.addFailure(*f.openBreak) // the feed did not recover, so End is 0
 	}
 	f.mu.Unlock()
 	cancel()
 }
 
-// register opens the feed with a new token and returns how to end it.
+// register registers the feed with a new token and returns a function that
+// deregisters it.
 func (f *feed) register(ctx context.Context) (cancel func()) {
 	f.mu.Lock()
 	f.attempt++
@@ -107,18 +108,18 @@
 	f.mu.Unlock()
 	o, err := f.conn.coap.DoObserve(m, f.receive)
 	if err != nil {
-		return func() {} // the next check registers again
+		return func() {} // run registers again at its next check
 	}
 	return func() {
 		ctx, stop := context.WithTimeout(context.Background(), time.Second)
 		defer stop()
-		_ = o.Cancel(ctx) // the service drops the feed after unacknowledged readings
+		_ = o.Cancel(ctx) // if this fails, the server closes the feed after unacknowledged notifications
 	}
 }
 
-// refresh registers again with the same token (RFC 7641 section 3.3.1). The
-// library's Observe call has no such operation, so the message is written
-// directly; the response reaches the observation by its token.
+// refresh registers again with the same token (RFC 7641 section 3.3.1). go-coap's
+// Observe call does not support this, so the message is written directly; go-coap
+// passes the response to the observation by its token.
 func (f *feed) refresh(ctx context.Context) {
 	f.mu.Lock()
 	f.attempt++
@@ -140,11 +141,11 @@
 
 // receive handles one notification.
 func (f *feed) receive(r *pool.Message) {
-	body, _ := r.ReadBody() // an unreadable body does not parse as a reading
+	body, _ := r.ReadBody() // ParseReading rejects an unreadable body
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !bytes.Equal(r.Token(), f.token) {
-		return // of an earlier registration
+		return // belongs to an earlier registration
 	}
 	if r.Code() != codes.Content || !r.HasOption(message.Observe) {
 		f.endReason = r.Code().String()
--- a/internal/standin/caller/stats.go
+++ b/internal/standin/caller/stats.go
@@ -9,11 +9,11 @@
 	"arbutusdock.example/arbutusdock/internal/standin/wire"
 )
 
-// stats collects the counts of one caller process.
+// stats collects the counters of one caller process.
 type stats struct {
 	mu        sync.Mutex
 	result    wire.CallerResult
-	latencies map[string]*hdrhistogram.Histogram // microseconds, by class
+	latencies map[string]*hdrhistogram.Histogram // in microseconds, by class
 }
 
 func newStats(user string) *stats {
@@ -42,7 +42,7 @@
 		h = hdrhistogram.New(1, int64(2*time.Minute/time.Microsecond), 3)
 		s.latencies[class] = h
 	}
-	_ = h.RecordValue(d.Microseconds()) // longer than the range cannot occur: every operation is bounded
+	_ = h.RecordValue(d.Microseconds()) // cannot exceed the range: all operations have a time limit
 }
 
 func (s *stats) addFailure(f wire.Failure) {
@@ -67,7 +67,7 @@
 	change(&s.result.Feeds)
 }
 
-// summary returns the counts with the quantiles filled in.
+// summary returns the counters with the latency quantiles.
 func (s *stats) summary() wire.CallerResult {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/fabric/fabric.go
+++ b/internal/standin/fabric/fabric.go
@@ -1,6 +1,7 @@
 // Package fabric is the stand-in for the network fabric: it receives callers'
-// datagrams at public addresses and sprays each one over the instances that
-// the platform's list shows as live.
+// datagrams at public addresses and sends each one to a random instance that the
+// platform lists as not leaving. It also proxies the links between instances and
+// injects network faults.
 package fabric
 
 import (
@@ -21,45 +22,46 @@
 
 const (
 	maxDatagramSize = 64 << 10
-	// socketBuffer keeps bursts of several thousand datagrams, so that the only
-	// losses are those asked for.
+	// socketBufferSize is large enough for bursts of several thousand datagrams,
+	// so that datagrams are lost only through the configured faults.
 	socketBufferSize = 4 << 20
 )
 
-// Options configure a Fabric.
+// Options configures a Fabric.
 type Options struct {
 	PlatformURL  string                // base URL of the platform
 	PublicIPs    map[string]netip.Addr // public IP of each data centre
 	Ports        []uint16              // UDP port of each service
-	Links        []Link                // peer listeners that are reached through the fabric
-	PollInterval time.Duration         // interval at which the list of instances is read
-	IdleTimeout  time.Duration         // time after which an unused caller socket is closed
+	Links        []Link                // peer listeners reached through the fabric
+	PollInterval time.Duration         // interval at which the instance list is fetched
+	IdleTimeout  time.Duration         // time without traffic after which the upstream socket of a caller is closed
 	Seed         uint64
 	Logger       *slog.Logger
 }
 
-// Fabric forwards datagrams until its context ends.
+// Fabric forwards datagrams between callers and instances.
 type Fabric struct {
 	opt           Options
 	mu            sync.Mutex
-	liveInstances map[string][]platform.Instance // by data centre
+	liveInstances map[string][]platform.Instance // not leaving, by data centre
 	instanceByIP  map[netip.Addr]platform.Instance
 	faults        Faults
-	// breaking is closed, and replaced, when links between data centres are broken.
+	// linkReset is closed and replaced to close the connections between data centres.
 	linkReset chan struct{}
 	counts    Counts
 	rng       *rand.Rand
 	routes    map[routeKey]*route
 }
 
-// routeKey identifies a caller at a public address.
+// routeKey identifies a caller's endpoint and the public address that it uses.
 type routeKey struct {
 	caller netip.AddrPort
 	public netip.AddrPort
 }
 
-// route is the upstream socket of one caller: the instances see the caller's
-// own IP and one stable port, and their replies leave from the public address.
+// route holds the upstream socket of one caller. Instances see the caller's own
+// IP address with one stable port; replies are sent to the caller from the public
+// address.
 type route struct {
 	key      routeKey
 	dc       string
@@ -68,7 +70,7 @@
 	lastUsed time.Time // guarded by Fabric.mu
 }
 
-// New returns a fabric that is not running yet.
+// New returns a fabric; Run starts it.
 func New(opt Options) *Fabric {
 	if opt.Logger == nil {
 		opt.Logger = slog.Default()
@@ -84,7 +86,8 @@
 	}
 }
 
-// Run listens on every public address and forwards until ctx ends.
+// Run listens on every public address and forwards datagrams until ctx is
+// cancelled.
 func (f *Fabric) Run(ctx context.Context) error {
 	var sockets []*net.UDPConn
 	defer func() {
@@ -99,7 +102,7 @@
 			if err != nil {
 				return eris.Wrapf(err, "listen on public address of data centre %s", dc)
 			}
-			_ = c.SetReadBuffer(socketBufferSize) // the kernel may grant less
+			_ = c.SetReadBuffer(socketBufferSize) // the kernel may limit the size
 			sockets = append(sockets, c)
 			go f.forwardRequests(c, dc)
 		}
@@ -122,8 +125,8 @@
 	}
 }
 
-// refresh reads the list of instances. The last list stays in use while the
-// platform does not respond.
+// refreshInstances fetches the instance list. The previous list stays in use
+// while the platform does not respond.
 func (f *Fabric) refreshInstances(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
@@ -146,7 +149,7 @@
 	for _, in := range list.Instances {
 		ip, err := netip.ParseAddr(in.CallerIP)
 		if err != nil {
-			f.opt.Logger.Warn("instance ignored", "instance", in.ID, "caller_ip", in.CallerIP)
+			f.opt.Logger.Warn("ignoring instance with invalid caller IP", "instance", in.ID, "caller_ip", in.CallerIP)
 			continue
 		}
 		f.instanceByIP[ip] = in
@@ -157,7 +160,7 @@
 	f.liveInstances = live
 }
 
-// receive forwards the datagrams of callers that arrive at one public address.
+// forwardRequests forwards the datagrams that callers send to one public address.
 func (f *Fabric) forwardRequests(c *net.UDPConn, dc string) {
 	public := c.LocalAddr().(*net.UDPAddr).AddrPort()
 	buf := make([]byte, maxDatagramSize)
@@ -169,7 +172,7 @@
 		caller = netip.AddrPortFrom(caller.Addr().Unmap(), caller.Port())
 		r, err := f.routeFor(routeKey{caller: caller, public: public}, dc, c)
 		if err != nil {
-			f.opt.Logger.Error("no upstream socket", "caller", caller, "error", err)
+			f.opt.Logger.Error("cannot open upstream socket", "caller", caller, "error", err)
 			continue
 		}
 		f.applyFaults(dc, buf[:n], func(datagram []byte) {
@@ -182,7 +185,8 @@
 	}
 }
 
-// pick chooses a live instance of the data centre.
+// pickInstance returns a random live instance of the data centre. It returns
+// false if there is none or if faults block the chosen one.
 func (f *Fabric) pickInstance(dc string, port uint16) (in platform.Instance, to netip.AddrPort, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -217,7 +221,7 @@
 	return r, nil
 }
 
-// reply forwards what instances send to the caller of r.
+// forwardReplies forwards datagrams from instances to the caller of r.
 func (f *Fabric) forwardReplies(r *route) {
 	buf := make([]byte, maxDatagramSize)
 	for {
@@ -227,16 +231,16 @@
 		}
 		f.mu.Lock()
 		in, known := f.instanceByIP[from.Addr().Unmap()]
-		cut := known && f.faults.blocks(in)
+		blocked := known && f.faults.blocks(in)
 		if !known || from.Port() != r.key.public.Port() {
 			f.counts.Stray++
 		}
-		if cut {
+		if blocked {
 			f.counts.Blocked++
 		}
 		r.lastUsed = time.Now()
 		f.mu.Unlock()
-		if !known || cut || from.Port() != r.key.public.Port() {
+		if !known || blocked || from.Port() != r.key.public.Port() {
 			continue
 		}
 		f.applyFaults(r.dc, buf[:n], func(datagram []byte) {
--- a/internal/standin/fabric/fabric_test.go
+++ b/internal/standin/fabric/fabric_test.go
@@ -14,7 +14,8 @@
 	"arbutusdock.example/arbutusdock/internal/standin/platform"
 )
 
-// echo returns every datagram with the name of the instance in front.
+// echo sends each datagram back, prefixed with the name of the instance and the
+// address of the sender.
 func echo(t *testing.T, name string, at netip.AddrPort) {
 	t.Helper()
 	c, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(at))
@@ -32,7 +33,8 @@
 	}()
 }
 
-// start runs a fabric with two instances and returns a socket that calls it.
+// start runs a fabric with two instances and returns it with a connected caller
+// socket.
 func start(t *testing.T, port uint16) (*Fabric, *net.UDPConn) {
 	t.Helper()
 	p, err := platform.New("", 0)
@@ -72,9 +74,9 @@
 	return string(buf[:n])
 }
 
-// Guards against an instance seeing a different endpoint per datagram, against
-// replies that leave from another address, and against a spray that always
-// picks the same instance.
+// Guards against an instance seeing a different source endpoint for each datagram
+// of a caller, against replies sent from another address than the public one, and
+// against all datagrams going to the same instance.
 func TestStableEndpointAndSpray(t *testing.T) {
 	f, c := start(t, 5791)
 	seen := map[string]int{}
@@ -86,7 +88,7 @@
 	assert.Equal(t, f.Counts().ToCallers, 40)
 }
 
-// Guards against faults that do not take effect or affect other instances.
+// Guards against faults that have no effect or that affect other instances.
 func TestFaults(t *testing.T) {
 	f, c := start(t, 5792)
 	f.SetFaults(Faults{BlockedInstances: []string{"a"}})
@@ -106,9 +108,10 @@
 	assert.Assert(t, time.Since(began) >= 80*time.Millisecond, "the delay applies in both directions")
 }
 
-// Guards against a split that lets traffic between data centres through, loses
-// bytes when it ends, or stops the links within a data centre; a cut of one way
-// that cuts the other; and broken links that stay open.
+// Guards against a partition that lets traffic between data centres through, loses
+// bytes when it heals, or stops links within a data centre; against a one-way
+// fault that also blocks the other direction; and against a link reset that
+// leaves connections between data centres open.
 func TestPartitionStopsLinksBetweenDataCentres(t *testing.T) {
 	f := New(Options{})
 	f.instanceByIP[netip.MustParseAddr("127.81.1.1")] = platform.Instance{ID: "a", DataCentre: "dc1"}
@@ -137,31 +140,32 @@
 		t.Cleanup(func() { _ = c.Close() })
 		return c
 	}
-	returns := func(c net.Conn, wait time.Duration) bool {
+	echoes := func(c net.Conn, wait time.Duration) bool {
 		_, _ = c.Write([]byte("x"))
 		_ = c.SetReadDeadline(time.Now().Add(wait))
 		_, err := c.Read(make([]byte, 1))
 		return err == nil
 	}
-	far, near := dial("127.81.1.1"), dial("127.81.1.2")
-	assert.Assert(t, returns(far, time.Second) && returns(near, time.Second))
+	remoteConn, localConn := dial("127.81.1.1"), dial("127.81.1.2")
+	assert.Assert(t, echoes(remoteConn, time.Second) && echoes(localConn, time.Second))
 	f.SetFaults(Faults{PartitionedDataCentres: []string{"dc2"}})
-	assert.Assert(t, !returns(far, 100*time.Millisecond))
-	assert.Assert(t, returns(near, time.Second))
+	assert.Assert(t, !echoes(remoteConn, 100*time.Millisecond))
+	assert.Assert(t, echoes(localConn, time.Second))
 	f.SetFaults(Faults{LinkDelayMS: 30})
 	began := time.Now()
-	assert.Assert(t, returns(far, time.Second), "the byte sent during the split arrives")
-	assert.Assert(t, returns(far, time.Second))
+	assert.Assert(t, echoes(remoteConn, time.Second), "the byte sent during the split arrives")
+	assert.Assert(t, echoes(remoteConn, time.Second))
 	assert.Assert(t, time.Since(began) >= 30*time.Millisecond)
-	// One way: dc2 hears and is not heard.
+	// One direction only: dc2 receives from other data centres, but its own traffic
+	// is blocked.
 	f.SetFaults(Faults{OutboundBlockedDataCentres: []string{"dc2"}})
-	assert.Assert(t, !returns(far, 100*time.Millisecond))
+	assert.Assert(t, !echoes(remoteConn, 100*time.Millisecond))
 	f.SetFaults(Faults{})
-	assert.Assert(t, returns(far, time.Second), "the byte echoed meanwhile arrives")
+	assert.Assert(t, echoes(remoteConn, time.Second), "the byte echoed meanwhile arrives")
 	f.SetFaults(Faults{ResetLinks: true})
-	_ = far.SetReadDeadline(time.Now().Add(time.Second))
-	_, err = io.Copy(io.Discard, far) // the echoes that were still under way
+	_ = remoteConn.SetReadDeadline(time.Now().Add(time.Second))
+	_, err = io.Copy(io.Discard, remoteConn) // discards echoes that were still in transit
 	assert.NilError(t, err, "the link has not ended")
-	assert.Assert(t, returns(near, time.Second), "a link within a data centre was broken")
-	assert.Assert(t, returns(dial("127.81.1.1"), time.Second), "a new link does not work")
+	assert.Assert(t, echoes(localConn, time.Second), "a link within a data centre was broken")
+	assert.Assert(t, echoes(dial("127.81.1.1"), time.Second), "a new link does not work")
 }
--- a/internal/standin/fabric/links.go
+++ b/internal/standin/fabric/links.go
@@ -12,31 +12,31 @@
 )
 
 const (
-	// gateCheck is the interval at which a stopped link looks whether the data
-	// centres are connected again.
+	// partitionPollInterval is the interval at which a blocked link checks whether
+	// its data centres are connected again.
 	partitionPollInterval = 20 * time.Millisecond
-	// linkQueue bounds the chunks of a link that wait for their delay.
+	// linkQueueLength limits the number of delayed chunks of a link direction.
 	linkQueueLength = 256
 	linkChunkSize   = 16 << 10
 )
 
-// Link is the address at which other instances reach the peer listener of an
-// instance, so that the fabric can delay and cut what crosses data centres.
-// The source of a connection is known by its IP address, which is that of the
-// dialling instance.
+// Link is a proxied TCP address at which other instances reach the peer listener
+// of an instance in DataCentre, so that the fabric can delay and block traffic
+// between data centres. The data centre at the other end of a connection is
+// determined from its source IP address, which is that of the dialling instance.
 type Link struct {
 	Listen     netip.AddrPort
 	Target     netip.AddrPort
 	DataCentre string
 }
 
-// chunk is a part of a stream and the time at which it is due.
+// delayedChunk is a part of a stream and the time at which to deliver it.
 type delayedChunk struct {
 	data []byte
 	due  time.Time
 }
 
-// carry accepts connections to a link until ctx ends.
+// serveLink accepts connections to a link until ctx is cancelled.
 func (f *Fabric) serveLink(ctx context.Context, l Link) error {
 	ln, err := net.Listen("tcp4", l.Listen.String())
 	if err != nil {
@@ -58,14 +58,14 @@
 	return nil
 }
 
-// join connects an accepted connection with the target of the link.
+// proxyLink copies data between an accepted connection and the target of the link.
 func (f *Fabric) proxyLink(ctx context.Context, from net.Conn, l Link) {
 	defer func() { _ = from.Close() }()
 	source, _ := netip.ParseAddrPort(from.RemoteAddr().String())
 	f.mu.Lock()
-	dc := f.instanceByIP[source.Addr().Unmap()].DataCentre
+	sourceDC := f.instanceByIP[source.Addr().Unmap()].DataCentre
 	f.mu.Unlock()
-	if !f.waitUntilOpen(ctx, dc, l.DataCentre) || !f.waitUntilOpen(ctx, l.DataCentre, dc) {
+	if !f.waitUntilOpen(ctx, sourceDC, l.DataCentre) || !f.waitUntilOpen(ctx, l.DataCentre, sourceDC) {
 		return
 	}
 	to, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp4", l.Target.String())
@@ -74,21 +74,21 @@
 	}
 	defer func() { _ = to.Close() }()
 	done := make(chan struct{}, 2)
-	copyTo := func(dst, src net.Conn, a, b string) {
-		f.copyWithDelay(ctx, dst, src, a, b)
+	copyTo := func(dst, src net.Conn, fromDC, toDC string) {
+		f.copyWithDelay(ctx, dst, src, fromDC, toDC)
 		done <- struct{}{}
 	}
-	go copyTo(to, from, dc, l.DataCentre)
-	go copyTo(from, to, l.DataCentre, dc)
+	go copyTo(to, from, sourceDC, l.DataCentre)
+	go copyTo(from, to, l.DataCentre, sourceDC)
 	select {
 	case <-done:
-	case <-f.resetSignal(dc, l.DataCentre):
+	case <-f.resetSignal(sourceDC, l.DataCentre):
 	case <-ctx.Done():
 	}
 }
 
-// broken returns a channel that is closed when the connections between the data
-// centres are broken. It is nil within a data centre.
+// resetSignal returns a channel that is closed when the connections between the
+// two data centres are to be closed. It is nil within a data centre.
 func (f *Fabric) resetSignal(a, b string) <-chan struct{} {
 	if a == b || a == "" {
 		return nil
@@ -98,10 +98,10 @@
 	return f.linkReset
 }
 
-// stream copies src in data centre a to dst in b with the delay between them.
-// While that way is cut nothing moves and the connection stays open, as it is
-// with lost segments.
-func (f *Fabric) copyWithDelay(ctx context.Context, dst io.Writer, src io.Reader, a, b string) {
+// copyWithDelay copies src in data centre fromDC to dst in toDC with the delay
+// between them. While that direction is blocked, nothing is copied and the
+// connection stays open, as with lost TCP segments.
+func (f *Fabric) copyWithDelay(ctx context.Context, dst io.Writer, src io.Reader, fromDC, toDC string) {
 	queue := make(chan delayedChunk, linkQueueLength)
 	go func() {
 		defer close(queue)
@@ -109,7 +109,7 @@
 			buf := make([]byte, linkChunkSize)
 			n, err := src.Read(buf)
 			if n > 0 {
-				queue <- delayedChunk{data: buf[:n], due: time.Now().Add(f.linkDelay(a, b))}
+				queue <- delayedChunk{data: buf[:n], due: time.Now().Add(f.linkDelay(fromDC, toDC))}
 			}
 			if err != nil {
 				return
@@ -118,7 +118,7 @@
 	}()
 	for c := range queue {
 		time.Sleep(time.Until(c.due))
-		if !f.waitUntilOpen(ctx, a, b) {
+		if !f.waitUntilOpen(ctx, fromDC, toDC) {
 			break
 		}
 		if _, err := dst.Write(c.data); err != nil {
@@ -126,30 +126,30 @@
 		}
 	}
 	go func() {
-		for range queue { // unblocks the reader until its connection is closed
+		for range queue { // drains the queue so that the reader does not block until its connection is closed
 		}
 	}()
 }
 
-func (f *Fabric) linkDelay(a, b string) time.Duration {
+func (f *Fabric) linkDelay(fromDC, toDC string) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if a == b || a == "" {
+	if fromDC == toDC || fromDC == "" {
 		return 0
 	}
 	return time.Duration(f.faults.LinkDelayMS * float64(time.Millisecond))
 }
 
-// gate waits until the way from data centre a to b is open. It returns false
-// when ctx ends.
-func (f *Fabric) waitUntilOpen(ctx context.Context, a, b string) bool {
+// waitUntilOpen waits until no fault blocks traffic from fromDC to toDC. It
+// returns false if ctx is cancelled.
+func (f *Fabric) waitUntilOpen(ctx context.Context, fromDC, toDC string) bool {
 	for {
 		f.mu.Lock()
-		split := a != b && a != "" &&
-			(slices.Contains(f.faults.PartitionedDataCentres, a) || slices.Contains(f.faults.PartitionedDataCentres, b) ||
-				slices.Contains(f.faults.OutboundBlockedDataCentres, a))
+		blocked := fromDC != toDC && fromDC != "" &&
+			(slices.Contains(f.faults.PartitionedDataCentres, fromDC) || slices.Contains(f.faults.PartitionedDataCentres, toDC) ||
+				slices.Contains(f.faults.OutboundBlockedDataCentres, fromDC))
 		f.mu.Unlock()
-		if !split {
+		if !blocked {
 			return ctx.Err() == nil
 		}
 		select {
--- a/internal/standin/platform/platform_test.go
+++ b/internal/standin/platform/platform_test.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// Guards against a watch that misses a publication or returns before it, and
-// against a stale platform that serves anything newer than its snapshot.
+// Guards against a watch that misses a publication or returns before one, and
+// against a platform with a stale revision that serves newer documents.
 func TestWatchAndStale(t *testing.T) {
 	dir := t.TempDir()
 	assert.NilError(t, os.MkdirAll(filepath.Join(dir, "service"), 0o755))
@@ -69,7 +69,7 @@
 	assert.Assert(t, err != nil, "a platform that is down must not respond")
 }
 
-// Guards against a list that shows changes before its lag.
+// Guards against an instance list that shows a change before the lag has passed.
 func TestInstanceListLag(t *testing.T) {
 	l := newInstanceList(80 * time.Millisecond)
 	l.set(Instance{ID: "a"}, true)
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -12,23 +12,24 @@
 	"github.com/rotisserie/eris"
 )
 
-// maxWait bounds the wait of a watch.
+// maxWait is the longest time for which a watch request is held open.
 const maxWait = 60 * time.Second
 
-// Fault is how the platform misbehaves towards the clients of one of its
-// listen addresses.
+// Fault configures the faults that clients of one listen address see.
 type Fault struct {
-	// Listen is the local IP address to which the fault applies; empty for all.
+	// Listen is the local IP address to which the fault applies; empty: all
+	// addresses without a fault of their own.
 	Listen string `json:"listen"`
-	// Down closes every connection without a response.
+	// Down closes each connection without a response.
 	Down bool `json:"down"`
-	// Stale, unless 0, is the revision whose state is served.
+	// StaleRevision, unless 0, is the revision up to which documents are served.
 	StaleRevision uint64 `json:"stale"`
-	// SlowMS delays each response.
+	// SlowMS is the delay of each response in milliseconds.
 	SlowMS int `json:"slow_ms"`
 }
 
-// Counts are the calls answered so far.
+// Counts holds the number of requests accepted so far, by kind, and the highest
+// number in one second.
 type Counts struct {
 	Reads         int `json:"reads"`
 	Watches       int `json:"watches"`
@@ -36,8 +37,8 @@
 	PeakPerSecond int `json:"peak_per_second"`
 }
 
-// Platform serves the interface of section 3.7 of the design and a control
-// interface below /control/.
+// Platform serves the platform API (section 3.7 of the design) and a control API
+// under /control/.
 type Platform struct {
 	docs      *documentStore
 	instances *instanceList
@@ -50,8 +51,8 @@
 	mux           *http.ServeMux
 }
 
-// New returns a platform with the documents below dir (none if empty) and a
-// list of instances that lags by lag.
+// New returns a platform that serves the documents found below dir (none if dir
+// is empty) and shows changes of its instance list after lag.
 func New(dir string, lag time.Duration) (*Platform, error) {
 	p := &Platform{docs: newDocumentStore(), instances: newInstanceList(lag), faults: map[string]Fault{}, mux: http.NewServeMux()}
 	if dir != "" {
@@ -75,24 +76,25 @@
 // ServeHTTP implements http.Handler.
 func (p *Platform) ServeHTTP(w http.ResponseWriter, r *http.Request) { p.mux.ServeHTTP(w, r) }
 
-// Counts returns the calls answered so far.
+// Counts returns the number of requests accepted so far.
 func (p *Platform) Counts() Counts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.counts
 }
 
-// Set adds an instance to the list or replaces it.
+// Set adds an instance to the list, or replaces the one with the same id.
 func (p *Platform) Set(in Instance) { p.instances.set(in, true) }
 
-// call counts a call and applies the fault of the listen address.
-func (p *Platform) startCall(r *http.Request, n *int) Fault {
+// startCall counts a request and applies the fault configured for the listen
+// address at which it arrived. It aborts the handler if the address is down.
+func (p *Platform) startCall(r *http.Request, counter *int) Fault {
 	f := p.fault(r)
 	if f.Down {
 		panic(http.ErrAbortHandler)
 	}
 	p.mu.Lock()
-	*n++
+	*counter++
 	if now := time.Now().Unix(); now != p.currentSecond {
 		p.currentSecond, p.callsInSecond = now, 0
 	}
@@ -127,11 +129,11 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	n := &p.counts.Reads
+	counter := &p.counts.Reads
 	if wait > 0 {
-		n = &p.counts.Watches
+		counter = &p.counts.Watches
 	}
-	f := p.startCall(r, n)
+	f := p.startCall(r, counter)
 	timer := time.NewTimer(min(time.Duration(wait)*time.Second, maxWait))
 	defer timer.Stop()
 	for {
@@ -224,5 +226,5 @@
 
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // the client has gone if this fails
+	_ = json.NewEncoder(w).Encode(v) // fails only if the client has disconnected
 }
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -1,5 +1,6 @@
-// Package platform is the stand-in for the platform: published documents with
-// one global revision and a long-poll watch, and a list of instances that lags.
+// Package platform is the stand-in for the platform: it serves published
+// documents with one global revision and a long-poll watch, and a list of
+// instances whose changes become visible after a configurable lag.
 package platform
 
 import (
@@ -14,20 +15,21 @@
 	"github.com/rotisserie/eris"
 )
 
-// maxBytes bounds the values of one response, as the platform does.
+// maxResponseBytes limits the total size of the values in one response, like the
+// limit of the real platform.
 const maxResponseBytes = 1 << 20
 
-// Document is one publication.
+// Document is one published version of a document.
 type Document struct {
 	Key      string  `json:"key"`
 	Revision uint64  `json:"revision"`
 	Value    *string `json:"value"` // null when the key was deleted
 }
 
-// Page is the response to a read of documents.
+// Page is the response to a request for documents.
 type Page struct {
-	Upto      uint64     `json:"upto"`
-	More      bool       `json:"more"`
+	Upto      uint64     `json:"upto"` // revision up to which Documents is complete
+	More      bool       `json:"more"` // further documents follow after Upto
 	Documents []Document `json:"documents"`
 }
 
@@ -40,11 +42,12 @@
 	Leaving    bool   `json:"leaving"`
 }
 
-// store keeps every publication, so that an older state can be served.
+// documentStore keeps every published version, so that the state at an older
+// revision can be served.
 type documentStore struct {
 	mu      sync.Mutex
-	log     []Document // log[i] has revision i+1
-	changed chan struct{}
+	log     []Document    // log[i] has revision i+1
+	changed chan struct{} // closed and replaced at each publication
 }
 
 func newDocumentStore() *documentStore { return &documentStore{changed: make(chan struct{})} }
@@ -59,8 +62,8 @@
 	return rev
 }
 
-// load publishes the .toml files below dir; the key of a file is its path
-// without the extension.
+// load publishes the .toml files below dir. The key of a document is the path of
+// its file relative to dir, without the extension.
 func (s *documentStore) load(dir string) error {
 	return filepath.WalkDir(dir, func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() || filepath.Ext(path) != ".toml" {
@@ -72,7 +75,7 @@
 		}
 		rel, err := filepath.Rel(dir, path)
 		if err != nil {
-			return eris.Wrap(err, "name document")
+			return eris.Wrap(err, "determine document key")
 		}
 		value := string(data)
 		s.publish(strings.TrimSuffix(filepath.ToSlash(rel), ".toml"), &value)
@@ -80,9 +83,9 @@
 	})
 }
 
-// page returns the last publication of each key after revision after, as the
-// state was at revision limit (0: now), and a channel that closes at the next
-// publication.
+// page returns the latest version of each document as of revision limit (0:
+// now), leaving out revisions up to after, and a channel that is closed at the
+// next publication.
 func (s *documentStore) page(after, limit uint64) (Page, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,12 +93,12 @@
 	if limit > 0 {
 		upto = min(upto, limit)
 	}
-	last := map[string]Document{}
+	latest := map[string]Document{}
 	for _, d := range s.log[:upto] {
-		last[d.Key] = d
+		latest[d.Key] = d
 	}
 	p := Page{Upto: upto, Documents: []Document{}}
-	for _, d := range last {
+	for _, d := range latest {
 		if d.Revision > after {
 			p.Documents = append(p.Documents, d)
 		}
@@ -114,37 +117,38 @@
 	return p, s.changed
 }
 
-// list is the list of instances. A change shows after the lag.
+// instanceList is the list of instances. A change becomes visible after lag.
 type instanceList struct {
 	mu      sync.Mutex
 	lag     time.Duration
 	current map[string]Instance
-	pending []change
+	pending []change // changes that are not yet visible
 	visible map[string]Instance
 }
 
+// change is an update of the instance list.
 type change struct {
 	visibleAt time.Time
 	instance  Instance
-	present   bool // false: removed
+	present   bool // false: the instance was removed
 }
 
 func newInstanceList(lag time.Duration) *instanceList {
 	return &instanceList{lag: lag, current: map[string]Instance{}, visible: map[string]Instance{}}
 }
 
-func (l *instanceList) set(in Instance, on bool) {
+func (l *instanceList) set(in Instance, present bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !on {
+	if !present {
 		delete(l.current, in.ID)
 	} else {
 		l.current[in.ID] = in
 	}
-	l.pending = append(l.pending, change{visibleAt: time.Now().Add(l.lag), instance: in, present: on})
+	l.pending = append(l.pending, change{visibleAt: time.Now().Add(l.lag), instance: in, present: present})
 }
 
-// leave marks the instance id as leaving.
+// markLeaving marks the instance id as leaving and reports whether it exists.
 func (l *instanceList) markLeaving(id string) bool {
 	l.mu.Lock()
 	in, ok := l.current[id]
@@ -166,18 +170,18 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	rest := l.pending[:0]
+	stillPending := l.pending[:0]
 	for _, c := range l.pending {
 		switch {
 		case c.visibleAt.After(now):
-			rest = append(rest, c)
+			stillPending = append(stillPending, c)
 		case c.present:
 			l.visible[c.instance.ID] = c.instance
 		default:
 			delete(l.visible, c.instance.ID)
 		}
 	}
-	l.pending = rest
+	l.pending = stillPending
 	out := make([]Instance, 0, len(l.visible))
 	for _, in := range l.visible {
 		out = append(out, in)
--- a/internal/standin/report/report.go
+++ b/internal/standin/report/report.go
@@ -1,5 +1,5 @@
-// Package report sums up what the stand-ins have counted and judges it against
-// the promises of the design. It uses no count of the product itself.
+// Package report evaluates the counters of the stand-ins against the guarantees of
+// the design. It uses no counters of arbutusdock itself.
 package report
 
 import (
@@ -18,7 +18,7 @@
 	"arbutusdock.example/arbutusdock/internal/standin/wire"
 )
 
-// Events that Judge knows. Other names are listed only.
+// Names of the events that Evaluate uses. It ignores all others.
 const (
 	StopBegin = "stop-begin" // SIGTERM sent to an instance
 	StopEnd   = "stop-end"   // that instance has exited
@@ -26,69 +26,71 @@
 )
 
 const (
-	// killBefore and killAfter delimit the start of a feed break that the killing
-	// of an instance explains. A break starts at the last reading, up to one
-	// reading interval before the kill.
+	// killWindowBefore and killWindowAfter delimit the start of a feed interruption
+	// that is attributed to the kill of an instance. An interruption starts at the
+	// last reading, up to one reading interval before the kill.
 	killWindowBefore = 2 * time.Second
 	killWindowAfter  = 5 * time.Second
-	// comeBack is the time within which such a feed must be back.
+	// maxRecoveryTime is the time within which such a feed must have recovered.
 	maxRecoveryTime = 15 * time.Second
-	// minAnswered is the share of the operations of a class that must have been
-	// answered, so that refusing everything does not pass as keeping promises.
+	// minAnsweredShare is the fraction of the operations of a class that must have
+	// succeeded, so that a run in which everything is refused does not pass.
 	minAnsweredShare = 0.95
 )
 
-// Event is something that the demo or a test did.
+// Event is an action of the demo or of a test.
 type Event struct {
 	At   int64 // Unix time in milliseconds
 	Name string
 	Note string
 }
 
-// Input is everything that was counted.
+// Input holds the counters and events of one run.
 type Input struct {
 	Backends []wire.BackendCounts
 	Callers  []wire.CallerResult
 	Events   []Event
 }
 
-// Verdict holds the broken promises.
+// Verdict holds the result of an evaluation: the number of violations of each
+// guarantee.
 type Verdict struct {
-	BrokenFeeds         int
-	Misdelivered        int
-	DuplicateExecutions int
-	LostAnswers         int
-	FalseRefusals       int
-	FailedByPlannedStop int
-	// AllowedBreaks are feeds that broke once when an instance was killed and
-	// came back in time.
+	BrokenFeeds         int // feed interruptions that no kill permits
+	Misdelivered        int // requests at a wrong service, and responses with wrong content
+	DuplicateExecutions int // non-idempotent operations that ran more than once
+	LostAnswers         int // operations without a complete response in time
+	FalseRefusals       int // requests that ran although they were refused as not run
+	FailedByPlannedStop int // failures during the planned stop of an instance, other than refusals
+	// AllowedBreaks counts feed interruptions that are permitted because an instance
+	// was killed and the feed recovered in time.
 	AllowedBreaks int
-	// Wasted are requests that were told to come back although they had run. No
-	// promise is broken: only idempotent requests are told so, and nothing is said
-	// of whether they ran. Their run served nobody.
+	// WastedExecutions counts requests that were told to retry although they had
+	// run. This violates no guarantee: only idempotent requests get such a response,
+	// and it does not state whether they ran. But their results were not used.
 	WastedExecutions int
-	// LateWork is work given to a backend server more than 5 s into its drain,
-	// and feeds still open there at the end of its grace period.
+	// LateWork counts requests and feeds that a backend server got more than 5 s
+	// after the start of its drain, and feeds still open there at the end of the
+	// grace period.
 	LateWork int
-	// Details explains what was counted above and what else failed.
+	// Details describes the violations counted above and other failures.
 	Details []string
 }
 
-// OK reports whether every promise was kept.
+// OK reports whether all guarantees were met.
 func (v *Verdict) OK() bool { return len(v.Details) == 0 }
 
-// Line returns the counts in one line.
+// Line returns the numbers of violations in one line.
 func (v *Verdict) Line() string {
 	return fmt.Sprintf("broken_flows=%d crossed=%d doubled=%d lost_answers=%d false_refusals=%d cut_by_planned_stop=%d",
 		v.BrokenFeeds, v.Misdelivered, v.DuplicateExecutions, v.LostAnswers, v.FalseRefusals, v.FailedByPlannedStop)
 }
 
-func (v *Verdict) addViolation(n *int, format string, args ...any) {
-	*n++
+func (v *Verdict) addViolation(counter *int, format string, args ...any) {
+	*counter++
 	v.Details = append(v.Details, fmt.Sprintf(format, args...))
 }
 
-// ParseEvents reads lines of "unix-ms name note".
+// ParseEvents reads events from lines of the form "unix-ms name note".
 func ParseEvents(r io.Reader) ([]Event, error) {
 	var events []Event
 	for s := bufio.NewScanner(r); s.Scan(); {
@@ -98,7 +100,7 @@
 		}
 		at, err := strconv.ParseInt(f[0], 10, 64)
 		if err != nil {
-			return nil, eris.Wrapf(err, "event %q", s.Text())
+			return nil, eris.Wrapf(err, "parse time of event %q", s.Text())
 		}
 		e := Event{At: at, Name: f[1]}
 		if len(f) == 3 {
@@ -109,7 +111,7 @@
 	return events, nil
 }
 
-// Judge compares the counts with the promises.
+// Evaluate checks the counters against the guarantees.
 func Evaluate(in Input) Verdict {
 	var v Verdict
 	runs := map[string]wire.ExecutionCounts{}
@@ -152,7 +154,7 @@
 	return v
 }
 
-// judgeRuns counts operations that ran more than once although they must not.
+// checkExecutions counts non-idempotent operations that ran more than once.
 func (v *Verdict) checkExecutions(runs map[string]wire.ExecutionCounts) {
 	ops := map[string]int{}
 	for s, r := range runs {
@@ -168,55 +170,55 @@
 }
 
 func (v *Verdict) checkFailures(failures []wire.Failure, events []Event) {
-	type allowed struct {
+	type feedKill struct {
 		feed string
 		kill int64
 	}
-	broke := map[allowed]bool{} // a kill allows one break of each feed
+	excused := map[feedKill]bool{} // each kill permits one interruption of each feed
 	for _, f := range failures {
 		stop, kills := overlappingEvents(f, events)
-		what := fmt.Sprintf("%s %s %s from %d to %d: %s", f.Kind, f.Class, f.ID, f.Start, f.End, f.Detail)
-		cut := stop && len(kills) == 0
+		description := fmt.Sprintf("%s %s %s from %d to %d: %s", f.Kind, f.Class, f.ID, f.Start, f.End, f.Detail)
+		interrupted := stop && len(kills) == 0
 		switch f.Kind {
 		case wire.KindWrongContent:
-			v.addViolation(&v.Misdelivered, "%s", what)
-			cut = false
+			v.addViolation(&v.Misdelivered, "%s", description)
+			interrupted = false
 		case wire.KindLost:
-			v.addViolation(&v.LostAnswers, "%s", what)
+			v.addViolation(&v.LostAnswers, "%s", description)
 		case wire.KindFeedEnded, wire.KindFeedSilent:
 			feed := f.ID[:strings.LastIndex(f.ID, ".")]
-			unused := slices.IndexFunc(kills, func(at int64) bool { return !broke[allowed{feed, at}] })
-			if unused >= 0 && f.End != 0 && f.End-f.Start <= maxRecoveryTime.Milliseconds() {
-				broke[allowed{feed, kills[unused]}] = true
+			killIndex := slices.IndexFunc(kills, func(at int64) bool { return !excused[feedKill{feed, at}] })
+			if killIndex >= 0 && f.End != 0 && f.End-f.Start <= maxRecoveryTime.Milliseconds() {
+				excused[feedKill{feed, kills[killIndex]}] = true
 				v.AllowedBreaks++
 			} else {
-				v.addViolation(&v.BrokenFeeds, "%s", what)
+				v.addViolation(&v.BrokenFeeds, "%s", description)
 			}
 		case wire.KindFailed:
-			v.Details = append(v.Details, what)
+			v.Details = append(v.Details, description)
 		case wire.KindRefused:
-			cut = false // true refusals under load; the share answered is judged instead
+			interrupted = false // refusals under load are correct; minAnsweredShare limits them instead
 		}
-		if cut {
-			v.addViolation(&v.FailedByPlannedStop, "cut by planned stop: %s", what)
+		if interrupted {
+			v.addViolation(&v.FailedByPlannedStop, "cut by planned stop: %s", description)
 		}
 	}
 }
 
-// during reports whether a failure overlaps a planned stop, and the times at which
-// instances were killed that explain it.
+// overlappingEvents reports whether a failure overlaps a planned stop, and returns
+// the times of the kills that can have caused it.
 func overlappingEvents(f wire.Failure, events []Event) (stop bool, kills []int64) {
 	end := f.End
 	if end == 0 {
 		end = 1 << 62
 	}
-	began := map[string]int64{} // by the instance, which the note names; stops may overlap
+	stopBegin := map[string]int64{} // by instance, from the note of the event; stops can overlap
 	for _, e := range events {
 		switch e.Name {
 		case StopBegin:
-			began[e.Note] = e.At
+			stopBegin[e.Note] = e.At
 		case StopEnd:
-			stop = stop || f.Start <= e.At && end >= began[e.Note]
+			stop = stop || f.Start <= e.At && end >= stopBegin[e.Note]
 		case Kill:
 			from, to := e.At-killWindowBefore.Milliseconds(), e.At+killWindowAfter.Milliseconds()
 			if f.Start <= to && (end >= from && !isFeed(f.Class) || f.Start >= from && isFeed(f.Class)) {
@@ -229,7 +231,8 @@
 
 func isFeed(class string) bool { return strings.HasSuffix(class, "feed") }
 
-// Write prints the table, the rules and the verdict.
+// Write prints the tables, the permitted interruptions, the violations and the
+// verdict.
 func Write(w io.Writer, in Input, v Verdict) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "user\tclass\tstarted\tok\trefused\tunknown\tlost\twrong\tfailed\tcomebacks\trepeats\tp50 ms\tp99 ms\tmax ms\t")
--- a/internal/standin/wire/counts.go
+++ b/internal/standin/wire/counts.go
@@ -1,67 +1,67 @@
 package wire
 
-// BackendCounts is what the backend servers of one process have counted.
+// BackendCounts holds the counters of all backend servers of one process.
 type BackendCounts struct {
-	Targets    map[string]TargetCounts    `json:"targets"` // by service/target
-	Executions map[string]ExecutionCounts `json:"runs"`    // by request id
+	Targets    map[string]TargetCounts    `json:"targets"` // key: "service/target"
+	Executions map[string]ExecutionCounts `json:"runs"`    // key: request id
 }
 
-// TargetCounts are the counts of one backend server.
+// TargetCounts holds the counters of one backend server.
 type TargetCounts struct {
 	Service            string `json:"service"`
 	DataCentre         string `json:"data_centre"`
 	Requests           int    `json:"requests"`
 	Executions         int    `json:"runs"`
-	Shed               int    `json:"shed"`      // 5.03, not run
-	Cancelled          int    `json:"cancelled"` // ended by RST
-	Expired            int    `json:"expired"`   // ended by the deadline
-	WrongService       int    `json:"foreign"`   // requests of another service
-	Feeds              int    `json:"feeds"`     // open now
+	Shed               int    `json:"shed"`      // answered with 5.03 without running
+	Cancelled          int    `json:"cancelled"` // stopped by an RST from the requester
+	Expired            int    `json:"expired"`   // stopped because the deadline passed
+	WrongService       int    `json:"foreign"`   // requests that belong to another service
+	Feeds              int    `json:"feeds"`     // currently open
 	FeedsOpened        int    `json:"feeds_opened"`
-	FeedsClosedByDrain int    `json:"feeds_cut"` // still open when the drain ended
+	FeedsClosedByDrain int    `json:"feeds_cut"` // still open when the drain grace period ended
 	Readings           int    `json:"readings"`  // acknowledged notifications
-	LateWork           int    `json:"late_work"` // requests begun more than 5 s after the start of the drain
+	LateWork           int    `json:"late_work"` // requests started more than 5 s after the drain began
 	MaxRunning         int    `json:"max_running"`
 }
 
-// Run counts the executions of one request id.
+// ExecutionCounts holds the counters of one request id.
 type ExecutionCounts struct {
 	Count  int  `json:"n"`
 	Post   bool `json:"post,omitempty"`
-	Ended  int  `json:"ended"`  // executions that came to their end
+	Ended  int  `json:"ended"`  // executions that completed
 	Blocks int  `json:"blocks"` // follow-up blocks served
 }
 
-// CallerResult is what one caller process has counted.
+// CallerResult holds the counters of one caller process.
 type CallerResult struct {
 	User     string                  `json:"user"`
 	Classes  map[string]*ClassCounts `json:"classes"`
-	Refused  []string                `json:"refused"`  // attempt ids answered as not run
-	Deferred []string                `json:"deferred"` // attempt ids told only when to come back
+	Refused  []string                `json:"refused"`  // ids of attempts rejected with a statement that they did not run
+	Deferred []string                `json:"deferred"` // ids of attempts rejected with only a retry time
 	Failures []Failure               `json:"failures"`
 	Feeds    FeedCounts              `json:"feeds"`
 }
 
-// Class counts the operations of one class of request. Times are in
-// microseconds from the first transmission to the final answer.
+// ClassCounts holds the counters of one class of requests. Latencies are in
+// microseconds, from the first transmission to the final response.
 type ClassCounts struct {
 	Started        int   `json:"started"`
 	OK             int   `json:"ok"`
-	Refused        int   `json:"refused"` // given up after refusals
-	Unknown        int   `json:"unknown"` // 5.04
-	Lost           int   `json:"lost"`
-	WrongContent   int   `json:"wrong"`
-	Failed         int   `json:"failed"`    // other answers
-	Retries        int   `json:"comebacks"` // attempts after a 5.03
-	Resends        int   `json:"repeats"`   // the same request again after a time-out
-	EchoChallenges int   `json:"echoes"`    // 4.01 with an admission token
+	Refused        int   `json:"refused"`   // still refused after the last retry
+	Unknown        int   `json:"unknown"`   // answered with 5.04: outcome unknown
+	Lost           int   `json:"lost"`      // no complete response in time
+	WrongContent   int   `json:"wrong"`     // response content that failed verification
+	Failed         int   `json:"failed"`    // any other response code
+	Retries        int   `json:"comebacks"` // new attempts after a 5.03
+	Resends        int   `json:"repeats"`   // the same request sent again after a timeout
+	EchoChallenges int   `json:"echoes"`    // 4.01 responses with an admission token in the Echo option
 	P50            int64 `json:"p50_us"`
 	P90            int64 `json:"p90_us"`
 	P99            int64 `json:"p99_us"`
 	Max            int64 `json:"max_us"`
 }
 
-// Kinds of Failure.
+// Values of Failure.Kind.
 const (
 	KindLost         = "lost"
 	KindWrongContent = "crossed"
@@ -72,9 +72,9 @@
 	KindFeedSilent   = "feed silent"
 )
 
-// Failure is an operation or feed that did not end as it should. Start and End
-// are Unix times in milliseconds; for a feed they delimit the break, and End is
-// 0 when the feed never came back.
+// Failure describes a failed operation or an interrupted feed. Start and End are
+// Unix times in milliseconds. For a feed they delimit the interruption; End is 0
+// if the feed did not recover.
 type Failure struct {
 	ID     string `json:"id"`
 	Class  string `json:"class"`
@@ -84,13 +84,13 @@
 	Detail string `json:"detail,omitempty"`
 }
 
-// Feeds counts the readings of all feeds.
+// FeedCounts holds the counters of all feeds of one caller process.
 type FeedCounts struct {
 	Opened     int `json:"opened"`
 	Readings   int `json:"readings"`
-	Missing    int `json:"missing"`  // sequence numbers never seen
-	Repeated   int `json:"repeated"` // the newest reading again
-	OutOfOrder int `json:"older"`    // a reading older than one already seen
+	Missing    int `json:"missing"`  // skipped sequence numbers
+	Repeated   int `json:"repeated"` // the newest reading received again
+	OutOfOrder int `json:"older"`    // a reading older than the newest one received
 	Refreshes  int `json:"refreshes"`
 	Breaks     int `json:"breaks"`
 }
--- a/internal/standin/wire/wire.go
+++ b/internal/standin/wire/wire.go
@@ -1,5 +1,6 @@
-// Package wire holds what the stand-ins for callers and backend servers agree
-// on: request ids, contents that the receiver can verify, and feed readings.
+// Package wire defines the formats that the stand-ins for callers and backend
+// servers share: request ids, response contents that the receiver can verify,
+// feed readings and counters.
 package wire
 
 import (
@@ -14,22 +15,22 @@
 )
 
 // DeadlineOption is the number of the elective CoAP option that carries the
-// time left for a request, in milliseconds. It is even because an odd number
-// marks a critical option (RFC 7252 section 5.4.6), which a server that does
-// not know it must reject with 4.02.
+// remaining time of a request, in milliseconds. It is even because odd numbers
+// denote critical options (RFC 7252 section 5.4.6), which a server that does not
+// recognize them must reject with 4.02.
 const DeadlineOption = 65000
 
-// Errors of Verify and ParseReading.
+// Errors returned by Verify and ParseReading.
 var (
-	// ErrForeign means that the content belongs to another request or service.
-	ErrMismatch = eris.New("content of another request or service")
+	// ErrMismatch means that the content belongs to another request, feed or service.
+	ErrMismatch = eris.New("content belongs to another request, feed or service")
 	// ErrIncomplete means that the content is truncated or altered.
 	ErrIncomplete = eris.New("content incomplete or altered")
 )
 
 // ID identifies one attempt of one operation of a caller. Attempts of the same
-// operation differ in Attempt only, so that runs can be counted per attempt and
-// per operation.
+// operation differ only in Attempt, so that executions can be counted per attempt
+// and per operation.
 type ID struct {
 	Service   string
 	Caller    string
@@ -41,12 +42,12 @@
 	return fmt.Sprintf("%s.%s.%d.%d", id.Service, id.Caller, id.Operation, id.Attempt)
 }
 
-// Op returns the id without the attempt.
+// OperationID returns the id without the attempt number.
 func (id ID) OperationID() string {
 	return fmt.Sprintf("%s.%s.%d", id.Service, id.Caller, id.Operation)
 }
 
-// ParseID is the inverse of ID.String.
+// ParseID parses the result of ID.String.
 func ParseID(s string) (ID, error) {
 	f := strings.Split(s, ".")
 	if len(f) != 4 {
@@ -63,9 +64,9 @@
 	return ID{Service: f[0], Caller: f[1], Operation: op, Attempt: attempt}, nil
 }
 
-// Content builds the payload of a response: one header line and size bytes that
-// depend on id only, so that every backend server builds the same content.
-// State is a free word for the receiver.
+// Content builds the payload of a response: a header line and size bytes that
+// depend only on id, so that every backend server builds the same content. State
+// is an arbitrary word without spaces that Verify returns to the receiver.
 func Content(service, id, state string, size int) []byte {
 	body := make([]byte, size)
 	x := xxhash.Sum64String(id)
@@ -77,8 +78,8 @@
 	return append([]byte(head), body...)
 }
 
-// Verify checks that content is the complete content for service and id, and
-// returns its state.
+// Verify checks that content is complete and belongs to service and id, and
+// returns the state from its header line.
 func Verify(content []byte, service, id string) (state string, err error) {
 	line, body, found := bytes.Cut(content, []byte{'\n'})
 	if !found {
@@ -86,21 +87,21 @@
 	}
 	h := parseFields(string(line))
 	if h["service"] != service || h["id"] != id {
-		return "", eris.Wrapf(ErrMismatch, "want service=%s id=%s, have %q", service, id, line)
+		return "", eris.Wrapf(ErrMismatch, "want service=%s id=%s, got %q", service, id, line)
 	}
 	if h["size"] != strconv.Itoa(len(body)) || h["sum"] != fmt.Sprintf("%016x", xxhash.Sum64(body)) {
-		return "", eris.Wrapf(ErrIncomplete, "%d bytes after %q", len(body), line)
+		return "", eris.Wrapf(ErrIncomplete, "%d body bytes do not match size or checksum of header %q", len(body), line)
 	}
 	return h["state"], nil
 }
 
-// ETag returns the entity tag of a content.
+// ETag returns the entity tag of content, which depends only on its bytes.
 func ETag(content []byte) []byte {
 	return binary.BigEndian.AppendUint64(nil, xxhash.Sum64(content))
 }
 
-// Reading builds the payload of one notification. Seq counts the readings of
-// the feed over all backend servers.
+// Reading builds the payload of one notification. Seq is the sequence number of
+// the reading, which is the same on all backend servers.
 func Reading(service, feed string, seq uint64) []byte {
 	return fmt.Appendf(nil, "service=%s feed=%s seq=%d", service, feed, seq)
 }
@@ -110,11 +111,11 @@
 func ParseReading(payload []byte, service, feed string) (seq uint64, err error) {
 	h := parseFields(string(payload))
 	if h["service"] != service || h["feed"] != feed {
-		return 0, eris.Wrapf(ErrMismatch, "want service=%s feed=%s, have %q", service, feed, payload)
+		return 0, eris.Wrapf(ErrMismatch, "want service=%s feed=%s, got %q", service, feed, payload)
 	}
 	seq, err = strconv.ParseUint(h["seq"], 10, 64)
 	if err != nil {
-		return 0, eris.Wrapf(ErrIncomplete, "reading %q", payload)
+		return 0, eris.Wrapf(ErrIncomplete, "invalid sequence number in reading %q", payload)
 	}
 	return seq, nil
 }
--- a/internal/standin/wire/wire_test.go
+++ b/internal/standin/wire/wire_test.go
@@ -7,13 +7,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a verification that accepts another request's content, or a
-// truncated or altered one.
+// Guards against Verify accepting the content of another request, or content
+// that is truncated or altered.
 func TestVerifyRejectsForeignAndIncompleteContent(t *testing.T) {
 	id := ID{Service: "counter", Caller: "b1", Operation: 7, Attempt: 1}
-	back, err := ParseID(id.String())
+	parsed, err := ParseID(id.String())
 	assert.NilError(t, err)
-	assert.Equal(t, back, id)
+	assert.Equal(t, parsed, id)
 	other := id
 	other.Attempt = 2
 
@@ -31,7 +31,7 @@
 	assert.Assert(t, errors.Is(err, ErrIncomplete), "%v", err)
 }
 
-// Guards against readings of another feed being taken for one's own.
+// Guards against ParseReading accepting readings of another feed.
 func TestParseReadingRejectsOtherFeed(t *testing.T) {
 	seq, err := ParseReading(Reading("alarm", "site-4", 12), "alarm", "site-4")
 	assert.NilError(t, err)
