--- a/cmd/standin/callers.go
+++ b/cmd/standin/callers.go
@@ -156,13 +156,13 @@
 		return eris.Wrapf(err, "%s %s", c.Method, c.URL)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	out, err := io.ReadAll(resp.Body)
+	respBody, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return eris.Wrap(err, "read response")
 	}
 	if resp.StatusCode != http.StatusOK {
-		return eris.Errorf("%s %s: %s: %s", c.Method, c.URL, resp.Status, bytes.TrimSpace(out))
+		return eris.Errorf("%s %s: %s: %s", c.Method, c.URL, resp.Status, bytes.TrimSpace(respBody))
 	}
-	fmt.Print(string(out))
+	fmt.Print(string(respBody))
 	return nil
 }
--- a/internal/standin/backend/feeds.go
+++ b/internal/standin/backend/feeds.go
@@ -28,11 +28,11 @@
 	muted  bool // guarded by Server.mu; if set, the feed stays open but sends nothing
 }
 
-func (q *request) feedName() string {
-	if len(q.path) == 0 {
+func (req *request) feedName() string {
+	if len(req.path) == 0 {
 		return ""
 	}
-	return q.path[len(q.path)-1]
+	return req.path[len(req.path)-1]
 }
 
 // sequenceAt returns the sequence number of the reading that is current at now and
@@ -54,11 +54,11 @@
 	return uint32((3*s.group.opt.FeedInterval + time.Second - 1) / time.Second)
 }
 
-func (s *Server) registerObserver(w *responseWriter, q request) {
+func (s *Server) registerObserver(w *responseWriter, req request) {
 	cc := w.Conn()
 	ctx, cancel := context.WithCancel(cc.Context())
 	o := &observer{
-		key: cc.RemoteAddr().String() + "/" + string(q.token), feed: q.feedName(), token: q.token, conn: cc, cancel: cancel, opened: time.Now(),
+		key: cc.RemoteAddr().String() + "/" + string(req.token), feed: req.feedName(), token: req.token, conn: cc, cancel: cancel, opened: time.Now(),
 	}
 	s.mu.Lock()
 	old := s.observers[o.key]
--- a/internal/standin/backend/handle.go
+++ b/internal/standin/backend/handle.go
@@ -49,29 +49,29 @@
 }
 
 func parseRequest(r *pool.Message) request {
-	q := request{observe: -1, post: r.Code() == codes.POST, token: bytes.Clone(r.Token())}
+	req := request{observe: -1, post: r.Code() == codes.POST, token: bytes.Clone(r.Token())}
 	for _, o := range r.Options() {
 		switch o.ID {
 		case message.URIPath:
-			q.path = append(q.path, string(o.Value))
+			req.path = append(req.path, string(o.Value))
 		case message.URIQuery:
 			k, v, _ := strings.Cut(string(o.Value), "=")
 			switch k {
 			case "id":
-				q.id, _ = wire.ParseID(v) // a malformed id is handled as a request of another service
+				req.id, _ = wire.ParseID(v) // a malformed id is handled as a request of another service
 			case "op":
-				q.outcomeOf = v
+				req.outcomeOf = v
 			}
 		case message.Observe:
-			q.observe = int(uintValue(o.Value))
+			req.observe = int(uintValue(o.Value))
 		case message.Block2:
-			q.block = int(uintValue(o.Value) >> 4)
+			req.block = int(uintValue(o.Value) >> 4)
 		case wire.DeadlineOption:
-			q.deadline = time.Duration(uintValue(o.Value)) * time.Millisecond
+			req.deadline = time.Duration(uintValue(o.Value)) * time.Millisecond
 		}
 	}
-	q.large = len(q.path) == 2 && strings.HasPrefix(q.path[1], "large")
-	return q
+	req.large = len(req.path) == 2 && strings.HasPrefix(req.path[1], "large")
+	return req
 }
 
 func uintValue(b []byte) uint64 {
@@ -88,11 +88,11 @@
 	if r.Code() < codes.GET || r.Code() > codes.DELETE {
 		return // a response or an empty message
 	}
-	q := parseRequest(r)
+	req := parseRequest(r)
 	key := messageKey{peer: w.Conn().RemoteAddr().String(), messageID: r.MessageID()}
 	// A deregistration sent by go-coap contains the path but no query, so it has no
 	// request id.
-	wrongService := q.id.Service != s.service && q.observe != 1
+	wrongService := req.id.Service != s.service && req.observe != 1
 	s.mu.Lock()
 	s.counts.Requests++
 	if wrongService {
@@ -102,46 +102,46 @@
 	switch {
 	case wrongService:
 		s.setResponse(w.Message(), codes.NotFound, nil, 0)
-	case q.outcomeOf != "":
+	case req.outcomeOf != "":
 		state := "none"
-		if s.group.executions.hasRun(q.outcomeOf) {
+		if s.group.executions.hasRun(req.outcomeOf) {
 			state = "ran"
 		}
-		s.setResponse(w.Message(), codes.Content, wire.Content(s.service, q.id.String(), state, 0), 0)
-	case q.observe == 0:
-		s.registerObserver(w, q)
-	case q.observe == 1:
-		s.deregisterObserver(key.peer, q.token)
-		s.setResponse(w.Message(), codes.Content, s.currentReading(q.feedName()), 0)
-	case q.block > 0:
-		s.group.executions.countBlock(q.id)
-		s.setResponse(w.Message(), codes.Content, s.responseContent(q), q.block)
+		s.setResponse(w.Message(), codes.Content, wire.Content(s.service, req.id.String(), state, 0), 0)
+	case req.observe == 0:
+		s.registerObserver(w, req)
+	case req.observe == 1:
+		s.deregisterObserver(key.peer, req.token)
+		s.setResponse(w.Message(), codes.Content, s.currentReading(req.feedName()), 0)
+	case req.block > 0:
+		s.group.executions.countBlock(req.id)
+		s.setResponse(w.Message(), codes.Content, s.responseContent(req), req.block)
 	default:
-		s.handleExecution(w, q, key)
+		s.handleExecution(w, req, key)
 	}
 }
 
 // handleExecution executes a request. The response is piggybacked on the ACK, or
 // sent separately if the request takes long.
-func (s *Server) handleExecution(w *responseWriter, q request, key messageKey) {
+func (s *Server) handleExecution(w *responseWriter, req request, key messageKey) {
 	ctx, stop := context.Background(), context.CancelFunc(func() {})
-	if q.deadline > 0 {
-		ctx, stop = context.WithTimeout(ctx, q.deadline)
+	if req.deadline > 0 {
+		ctx, stop = context.WithTimeout(ctx, req.deadline)
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	s.mu.Lock()
 	s.cancelFuncs[key] = cancel
 	s.mu.Unlock()
 	finish := func(m *pool.Message) bool {
-		err := s.execute(ctx, q.id, q.post, q.large)
+		err := s.execute(ctx, req.id, req.post, req.large)
 		cancel(nil)
 		stop()
 		s.mu.Lock()
 		delete(s.cancelFuncs, key)
 		s.mu.Unlock()
-		return s.setResult(m, q, err)
+		return s.setResult(m, req, err)
 	}
-	if s.group.opt.RunTime[s.service] < separateResponseMinRunTime && !q.large {
+	if s.group.opt.RunTime[s.service] < separateResponseMinRunTime && !req.large {
 		finish(w.Message())
 		return
 	}
@@ -151,7 +151,7 @@
 		defer stop()
 		m := cc.AcquireMessage(ctx)
 		defer cc.ReleaseMessage(m)
-		m.SetToken(q.token)
+		m.SetToken(req.token)
 		if finish(m) {
 			_ = cc.WriteMessage(m) // if no ACK arrives, the sender's deadline ends the request
 		}
@@ -160,14 +160,14 @@
 
 // setResult sets the response for the result of an execution. It returns false if
 // no response is to be sent.
-func (s *Server) setResult(m *pool.Message, q request, err error) bool {
+func (s *Server) setResult(m *pool.Message, req request, err error) bool {
 	switch {
 	case err == nil:
 		code := codes.Content
-		if q.post {
+		if req.post {
 			code = codes.Changed
 		}
-		s.setResponse(m, code, s.responseContent(q), 0)
+		s.setResponse(m, code, s.responseContent(req), 0)
 	case errors.Is(err, errOverloaded):
 		s.setResponse(m, codes.ServiceUnavailable, nil, 0)
 		m.SetOptionUint32(message.MaxAge, 1)
@@ -181,15 +181,15 @@
 	return true
 }
 
-func (s *Server) responseContent(q request) []byte {
+func (s *Server) responseContent(req request) []byte {
 	size := defaultContentSize
-	if len(q.path) > 0 && q.path[0] == "certificates" {
+	if len(req.path) > 0 && req.path[0] == "certificates" {
 		size = certificateSize
 	}
-	if q.large {
+	if req.large {
 		size = largeCertificateSize
 	}
-	return wire.Content(s.service, q.id.String(), "ran", size)
+	return wire.Content(s.service, req.id.String(), "ran", size)
 }
 
 // setResponse sets the code and content of a response. If the content exceeds one
--- a/internal/standin/backend/ledger.go
+++ b/internal/standin/backend/ledger.go
@@ -20,37 +20,37 @@
 	return executionCounter{mu: &sync.Mutex{}, byRequest: map[string]wire.ExecutionCounts{}, byOperation: map[string]int{}}
 }
 
-func (l *executionCounter) update(id string, f func(*wire.ExecutionCounts)) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	r := l.byRequest[id]
+func (c *executionCounter) update(id string, f func(*wire.ExecutionCounts)) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r := c.byRequest[id]
 	f(&r)
-	l.byRequest[id] = r
+	c.byRequest[id] = r
 }
 
-func (l *executionCounter) countStart(id wire.ID, post bool) {
-	l.update(id.String(), func(r *wire.ExecutionCounts) { r.Count++; r.Post = post })
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.byOperation[id.OperationID()]++
+func (c *executionCounter) countStart(id wire.ID, post bool) {
+	c.update(id.String(), func(r *wire.ExecutionCounts) { r.Count++; r.Post = post })
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.byOperation[id.OperationID()]++
 }
 
-func (l *executionCounter) countEnd(id wire.ID) {
-	l.update(id.String(), func(r *wire.ExecutionCounts) { r.Ended++ })
+func (c *executionCounter) countEnd(id wire.ID) {
+	c.update(id.String(), func(r *wire.ExecutionCounts) { r.Ended++ })
 }
-func (l *executionCounter) countBlock(id wire.ID) {
-	l.update(id.String(), func(r *wire.ExecutionCounts) { r.Blocks++ })
+func (c *executionCounter) countBlock(id wire.ID) {
+	c.update(id.String(), func(r *wire.ExecutionCounts) { r.Blocks++ })
 }
 
 // hasRun reports whether an attempt of the operation was executed.
-func (l *executionCounter) hasRun(op string) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.byOperation[op] > 0
+func (c *executionCounter) hasRun(op string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.byOperation[op] > 0
 }
 
-func (l *executionCounter) snapshot() map[string]wire.ExecutionCounts {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return maps.Clone(l.byRequest)
+func (c *executionCounter) snapshot() map[string]wire.ExecutionCounts {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return maps.Clone(c.byRequest)
 }
--- a/internal/standin/caller/caller_test.go
+++ b/internal/standin/caller/caller_test.go
@@ -66,9 +66,9 @@
 	if change != nil {
 		change(&opt)
 	}
-	c, err := New(ctx, opt)
+	g, err := New(ctx, opt)
 	assert.NilError(t, err)
-	return c.Run(ctx)
+	return g.Run(ctx)
 }
 
 // Guards against stand-ins that report failures of their own: callers connected
--- a/internal/standin/caller/conn.go
+++ b/internal/standin/caller/conn.go
@@ -90,68 +90,68 @@
 	more   bool // further blocks follow
 }
 
-// newMessage returns a message for q; go-coap assigns the message id.
-func (c *callerConn) newMessage(ctx context.Context, q request) (*pool.Message, error) {
+// newMessage returns a message for req; go-coap assigns the message id.
+func (c *callerConn) newMessage(ctx context.Context, req request) (*pool.Message, error) {
 	token, err := message.GetToken()
 	if err != nil {
 		return nil, eris.Wrap(err, "token")
 	}
 	m := c.coap.AcquireMessage(ctx)
-	m.SetCode(q.code)
+	m.SetCode(req.code)
 	m.SetToken(token)
 	if c.host != "" {
 		m.SetOptionString(message.URIHost, c.host)
 	}
-	m.MustSetPath(q.path)
-	m.AddQuery("id=" + q.id)
-	if q.outcomeOf != "" {
-		m.AddQuery("op=" + q.outcomeOf)
+	m.MustSetPath(req.path)
+	m.AddQuery("id=" + req.id)
+	if req.outcomeOf != "" {
+		m.AddQuery("op=" + req.outcomeOf)
 	}
-	if len(q.echo) > 0 {
-		if err := m.SetEcho(q.echo); err != nil {
+	if len(req.echo) > 0 {
+		if err := m.SetEcho(req.echo); err != nil {
 			c.coap.ReleaseMessage(m)
 			return nil, eris.Wrap(err, "set Echo option")
 		}
 	}
-	if q.block > 0 {
-		m.SetOptionUint32(message.Block2, q.block<<4|blockSZX)
+	if req.block > 0 {
+		m.SetOptionUint32(message.Block2, req.block<<4|blockSZX)
 	}
-	if q.code == codes.POST {
-		m.SetBody(bytes.NewReader([]byte("record " + q.id)))
+	if req.code == codes.POST {
+		m.SetBody(bytes.NewReader([]byte("record " + req.id)))
 	}
 	return m, nil
 }
 
-// roundTrip sends q and waits for the response.
-func (c *callerConn) roundTrip(ctx context.Context, q request) (response, error) {
-	m, err := c.newMessage(ctx, q)
+// roundTrip sends req and waits for the response.
+func (c *callerConn) roundTrip(ctx context.Context, req request) (response, error) {
+	m, err := c.newMessage(ctx, req)
 	if err != nil {
 		return response{}, err
 	}
 	defer c.coap.ReleaseMessage(m)
 	r, err := c.coap.Do(m)
 	if err != nil {
-		return response{}, eris.Wrapf(err, "request %s block %d", q.id, q.block)
+		return response{}, eris.Wrapf(err, "request %s block %d", req.id, req.block)
 	}
 	defer c.coap.ReleaseMessage(r)
-	a := response{code: r.Code(), maxAge: 60 * time.Second}
-	if a.body, err = r.ReadBody(); err != nil {
-		return response{}, eris.Wrapf(err, "read response body of request %s", q.id)
+	resp := response{code: r.Code(), maxAge: 60 * time.Second}
+	if resp.body, err = r.ReadBody(); err != nil {
+		return response{}, eris.Wrapf(err, "read response body of request %s", req.id)
 	}
 	if e, err := r.Echo(); err == nil {
-		a.echo = bytes.Clone(e)
+		resp.echo = bytes.Clone(e)
 	}
 	if s, err := r.GetOptionUint32(message.MaxAge); err == nil {
-		a.maxAge = time.Duration(s) * time.Second
+		resp.maxAge = time.Duration(s) * time.Second
 	}
 	if tag, err := r.ETag(); err == nil {
-		a.etag = bytes.Clone(tag)
+		resp.etag = bytes.Clone(tag)
 	}
 	if v, err := r.GetOptionUint32(message.Block2); err == nil {
-		if v>>4 != q.block {
-			return response{}, eris.Errorf("request %s: got block %d, want %d", q.id, v>>4, q.block)
+		if v>>4 != req.block {
+			return response{}, eris.Errorf("request %s: got block %d, want %d", req.id, v>>4, req.block)
 		}
-		a.more = v&8 != 0
+		resp.more = v&8 != 0
 	}
-	return a, nil
+	return resp, nil
 }
--- a/internal/standin/caller/operation.go
+++ b/internal/standin/caller/operation.go
@@ -43,31 +43,31 @@
 	g.stats.updateClass(op.class, func(k *wire.ClassCounts) { k.Started++ })
 	id := wire.ID{Service: op.service, Caller: conn.caller, Operation: number}
 	for id.Attempt = 1; ; id.Attempt++ {
-		a, err := g.runAttempt(ctx, conn, op, id)
+		resp, err := g.runAttempt(ctx, conn, op, id)
 		switch {
 		case err != nil:
 			g.recordFailure(op, id, began, wire.KindLost, err.Error())
-		case a.code == codes.Content || a.code == codes.Changed:
-			if _, err := wire.Verify(a.body, op.service, id.String()); err != nil {
+		case resp.code == codes.Content || resp.code == codes.Changed:
+			if _, err := wire.Verify(resp.body, op.service, id.String()); err != nil {
 				g.recordFailure(op, id, began, wire.KindWrongContent, err.Error())
 				break
 			}
 			g.stats.updateClass(op.class, func(k *wire.ClassCounts) { k.OK++ })
 			g.stats.recordLatency(op.class, time.Since(began))
-		case a.code == codes.ServiceUnavailable && id.Attempt <= maxRetries:
-			g.recordRefusal(id, a)
+		case resp.code == codes.ServiceUnavailable && id.Attempt <= maxRetries:
+			g.recordRefusal(id, resp)
 			g.stats.updateClass(op.class, func(k *wire.ClassCounts) { k.Retries++ })
-			if sleep(ctx, a.maxAge) {
+			if sleep(ctx, resp.maxAge) {
 				continue
 			}
 			g.recordFailure(op, id, began, wire.KindRefused, "run ended")
-		case a.code == codes.ServiceUnavailable || a.code == codes.Unauthorized:
-			g.recordRefusal(id, a)
-			g.recordFailure(op, id, began, wire.KindRefused, a.code.String())
-		case a.code == codes.GatewayTimeout:
-			g.recordFailure(op, id, began, wire.KindUnknown, string(a.body)+"; "+g.queryOutcome(ctx, conn, op, id))
+		case resp.code == codes.ServiceUnavailable || resp.code == codes.Unauthorized:
+			g.recordRefusal(id, resp)
+			g.recordFailure(op, id, began, wire.KindRefused, resp.code.String())
+		case resp.code == codes.GatewayTimeout:
+			g.recordFailure(op, id, began, wire.KindUnknown, string(resp.body)+"; "+g.queryOutcome(ctx, conn, op, id))
 		default:
-			g.recordFailure(op, id, began, wire.KindFailed, a.code.String())
+			g.recordFailure(op, id, began, wire.KindFailed, resp.code.String())
 		}
 		return
 	}
@@ -97,8 +97,8 @@
 // recordRefusal records a refusal. A 4.01, or a 5.03 with the payload "not run",
 // states that the request was not executed; any other 5.03 only tells when to
 // retry.
-func (g *Generator) recordRefusal(id wire.ID, a response) {
-	g.stats.addRefusal(id.String(), a.code == codes.Unauthorized || string(a.body) == "not run")
+func (g *Generator) recordRefusal(id wire.ID, resp response) {
+	g.stats.addRefusal(id.String(), resp.code == codes.Unauthorized || string(resp.body) == "not run")
 }
 
 // runAttempt sends one request until it gets a final response, and fetches all
@@ -111,53 +111,53 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, deadline+g.opt.maxTransmitSpan())
 	defer cancel()
-	q := request{code: codes.GET, path: op.path, id: id.String()}
+	req := request{code: codes.GET, path: op.path, id: id.String()}
 	if op.post {
-		q.code = codes.POST
+		req.code = codes.POST
 	}
-	result, err := g.sendWithRetries(ctx, conn, op, &q)
+	result, err := g.sendWithRetries(ctx, conn, op, &req)
 	for err == nil && result.more {
-		q.block++
-		var a response
-		a, err = g.sendWithRetries(ctx, conn, op, &q)
+		req.block++
+		var resp response
+		resp, err = g.sendWithRetries(ctx, conn, op, &req)
 		switch {
 		case err != nil:
-		case a.code == codes.ServiceUnavailable:
+		case resp.code == codes.ServiceUnavailable:
 			// This block was not served; the blocks before it remain valid.
 			g.stats.updateClass(op.class, func(k *wire.ClassCounts) { k.Retries++ })
-			q.block--
-			if !sleep(ctx, a.maxAge) {
-				err = eris.Wrapf(ctx.Err(), "block %d refused", q.block+1)
+			req.block--
+			if !sleep(ctx, resp.maxAge) {
+				err = eris.Wrapf(ctx.Err(), "block %d refused", req.block+1)
 			}
-		case a.code != codes.Content || !bytes.Equal(a.etag, result.etag):
-			return a, nil // Verify rejects this content
+		case resp.code != codes.Content || !bytes.Equal(resp.etag, result.etag):
+			return resp, nil // Verify rejects this content
 		default:
-			result.body = append(result.body, a.body...)
-			result.more = a.more
+			result.body = append(result.body, resp.body...)
+			result.more = resp.more
 		}
 	}
 	return result, err
 }
 
-// sendWithRetries sends q until it gets a final response: after a timeout it sends
-// q again with the same admission token, if any, and after a 4.01 with the new
-// token in the Echo option.
-func (g *Generator) sendWithRetries(ctx context.Context, conn *callerConn, op operation, q *request) (response, error) {
+// sendWithRetries sends req until it gets a final response: after a timeout it
+// sends req again with the same admission token, if any, and after a 4.01 with the
+// new token in the Echo option.
+func (g *Generator) sendWithRetries(ctx context.Context, conn *callerConn, op operation, req *request) (response, error) {
 	for echoes := 0; ; {
 		sendCtx, stop := context.WithTimeout(ctx, g.opt.Deadline+responseGrace)
-		a, err := conn.roundTrip(sendCtx, *q)
+		resp, err := conn.roundTrip(sendCtx, *req)
 		stop()
 		switch {
 		case err != nil && ctx.Err() == nil && errors.Is(err, context.DeadlineExceeded):
 			g.stats.updateClass(op.class, func(k *wire.ClassCounts) { k.Resends++ })
 		case err != nil:
-			return a, err
-		case a.code == codes.Unauthorized && len(a.echo) > 0 && echoes < maxEchoChallenges:
+			return resp, err
+		case resp.code == codes.Unauthorized && len(resp.echo) > 0 && echoes < maxEchoChallenges:
 			g.stats.updateClass(op.class, func(k *wire.ClassCounts) { k.EchoChallenges++ })
-			q.echo = a.echo
+			req.echo = resp.echo
 			echoes++
 		default:
-			return a, nil
+			return resp, nil
 		}
 	}
 }
@@ -170,12 +170,12 @@
 	ctx, cancel := context.WithTimeout(ctx, g.opt.Deadline+g.opt.maxTransmitSpan())
 	defer cancel()
 	g.stats.updateClass(query.class, func(k *wire.ClassCounts) { k.Started++ })
-	a, err := conn.roundTrip(ctx, request{code: codes.GET, path: query.path, id: queryID.String(), outcomeOf: id.OperationID()})
-	if err != nil || a.code != codes.Content {
+	resp, err := conn.roundTrip(ctx, request{code: codes.GET, path: query.path, id: queryID.String(), outcomeOf: id.OperationID()})
+	if err != nil || resp.code != codes.Content {
 		g.stats.updateClass(query.class, func(k *wire.ClassCounts) { k.Failed++ })
 		return "not told"
 	}
-	state, err := wire.Verify(a.body, op.service, queryID.String())
+	state, err := wire.Verify(resp.body, op.service, queryID.String())
 	if err != nil {
 		g.recordFailure(query, queryID, time.Now(), wire.KindWrongContent, err.Error())
 		return "not told"
--- a/internal/standin/report/report.go
+++ b/internal/standin/report/report.go
@@ -142,12 +142,12 @@
 		}
 		v.checkFailures(c.Failures, in.Events)
 		for _, name := range slices.Sorted(maps.Keys(c.Classes)) {
-			k := c.Classes[name]
+			class := c.Classes[name]
 			if isFeed(name) || name == "outcome query" {
 				continue
 			}
-			if float64(k.OK) < minAnsweredShare*float64(k.Started) || k.Started == 0 {
-				v.Details = append(v.Details, fmt.Sprintf("service: only %d of %d answered in class %s", k.OK, k.Started, name))
+			if float64(class.OK) < minAnsweredShare*float64(class.Started) || class.Started == 0 {
+				v.Details = append(v.Details, fmt.Sprintf("service: only %d of %d answered in class %s", class.OK, class.Started, name))
 			}
 		}
 	}
@@ -176,9 +176,9 @@
 	}
 	excused := map[feedKill]bool{} // each kill permits one interruption of each feed
 	for _, f := range failures {
-		stop, kills := overlappingEvents(f, events)
+		duringStop, kills := overlappingEvents(f, events)
 		description := fmt.Sprintf("%s %s %s from %d to %d: %s", f.Kind, f.Class, f.ID, f.Start, f.End, f.Detail)
-		interrupted := stop && len(kills) == 0
+		interrupted := duringStop && len(kills) == 0
 		switch f.Kind {
 		case wire.KindWrongContent:
 			v.addViolation(&v.Misdelivered, "%s", description)
@@ -207,7 +207,7 @@
 
 // overlappingEvents reports whether a failure overlaps a planned stop, and returns
 // the times of the kills that can have caused it.
-func overlappingEvents(f wire.Failure, events []Event) (stop bool, kills []int64) {
+func overlappingEvents(f wire.Failure, events []Event) (duringStop bool, kills []int64) {
 	end := f.End
 	if end == 0 {
 		end = 1 << 62
@@ -218,7 +218,7 @@
 		case StopBegin:
 			stopBegin[e.Note] = e.At
 		case StopEnd:
-			stop = stop || f.Start <= e.At && end >= stopBegin[e.Note]
+			duringStop = duringStop || f.Start <= e.At && end >= stopBegin[e.Note]
 		case Kill:
 			from, to := e.At-killWindowBefore.Milliseconds(), e.At+killWindowAfter.Milliseconds()
 			if f.Start <= to && (end >= from && !isFeed(f.Class) || f.Start >= from && isFeed(f.Class)) {
@@ -226,7 +226,7 @@
 			}
 		}
 	}
-	return stop, kills
+	return duringStop, kills
 }
 
 func isFeed(class string) bool { return strings.HasSuffix(class, "feed") }
@@ -239,12 +239,12 @@
 	ms := func(us int64) string { return strconv.FormatFloat(float64(us)/1000, 'f', 1, 64) }
 	for _, c := range in.Callers {
 		for _, name := range slices.Sorted(maps.Keys(c.Classes)) {
-			k := c.Classes[name]
+			class := c.Classes[name]
 			if isFeed(name) {
 				continue
 			}
-			fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t\n", c.User, name, k.Started, k.OK, k.Refused,
-				k.Unknown, k.Lost, k.WrongContent, k.Failed, k.Retries, k.Resends, ms(k.P50), ms(k.P99), ms(k.Max))
+			fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t\n", c.User, name, class.Started, class.OK, class.Refused,
+				class.Unknown, class.Lost, class.WrongContent, class.Failed, class.Retries, class.Resends, ms(class.P50), ms(class.P99), ms(class.Max))
 		}
 	}
 	fmt.Fprintln(t, "\nuser\tfeeds opened\treadings\tmissing\trepeated\tolder\trefreshes\tbreaks\t")
--- a/internal/standin/wire/wire_test.go
+++ b/internal/standin/wire/wire_test.go
@@ -9,7 +9,7 @@
 
 // Guards against Verify accepting the content of another request, or content
 // that is truncated or altered.
-func TestVerifyRejectsForeignAndIncompleteContent(t *testing.T) {
+func TestVerifyRejectsMismatchedAndIncompleteContent(t *testing.T) {
 	id := ID{Service: "counter", Caller: "b1", Operation: 7, Attempt: 1}
 	parsed, err := ParseID(id.String())
 	assert.NilError(t, err)
