--- a/internal/core/caller.go
+++ b/internal/core/caller.go
@@ -133,7 +133,7 @@
 // retransmission of one.
 func (c *Core) handleRepeat(d *callerDatagram) bool {
 	r := c.requestsByKey[requestKey{ids.FlowKey{Caller: d.caller, Service: d.svc.name}, d.token}]
-	if r == nil || r.code != d.msg.Code || r.path != d.msg.Path {
+	if r == nil || r.code != d.msg.Code || r.path != d.msg.PathHash {
 		return false
 	}
 	c.acknowledgeRepeat(r, d)
@@ -221,7 +221,7 @@
 // served the first.
 func (c *Core) routeFollowUpBlock(d *callerDatagram, idempotent bool) {
 	s := d.svc
-	k := flow.BlockKey{FlowKey: ids.FlowKey{Caller: d.caller, Service: s.name}, Path: d.msg.Path}
+	k := flow.BlockKey{FlowKey: ids.FlowKey{Caller: d.caller, Service: s.name}, Path: d.msg.PathHash}
 	route, known := c.blockRoutes.Get(c.now, k)
 	if known && route.Instance != "" && route.Instance != c.self.ID && s.peer(route.Instance) == nil {
 		known = false // that instance has failed or no longer owns a slot
--- a/internal/core/service.go
+++ b/internal/core/service.go
@@ -201,7 +201,7 @@
 	}
 	*l = peerwire.Load{Service: s.name, Backlog: uint16(min(s.backlog(), 1<<16-1)), Refuse: !c.accepting()}
 	l.Slots, l.Long = uint16(s.pool.Usable()), uint16(s.pool.LongInUse())
-	l.LongKey, l.LongRun = s.endedLongKey, uint32(s.endedLongRunTime/time.Millisecond)
+	l.LongKey, l.LongDurationMS = s.endedLongKey, uint32(s.endedLongRunTime/time.Millisecond)
 	if c.accepting() {
 		l.Free = uint16(max(0, s.pool.Free(spread.Short)))
 		l.Refuse = l.Free == 0 && !c.fitsQueue(s, spread.Short, 0)
@@ -220,7 +220,7 @@
 		p.freeSlots, p.backlog, p.refusing, p.reportedAt = int(l.Free), int(l.Backlog), l.Refuse, c.now
 		p.usableSlots, p.longSlots = int(l.Slots), int(l.Long)
 		if s.pool != nil {
-			s.pool.ImportRunTime(l.LongKey, time.Duration(l.LongRun)*time.Millisecond)
+			s.pool.ImportRunTime(l.LongKey, time.Duration(l.LongDurationMS)*time.Millisecond)
 		}
 	}
 }
--- a/internal/core/snapshot.go
+++ b/internal/core/snapshot.go
@@ -130,7 +130,7 @@
 	c.refreshOwnership(s)
 	code := methodCodes[q.Method]
 	d := callerDatagram{callerExchange: callerExchange{svc: s, caller: q.Caller}, hash: ids.HashEndpoint(q.Caller),
-		msg: &message.Message{Code: code, Path: message.HashPath(q.Path), Host: []byte(q.Host)}}
+		msg: &message.Message{Code: code, PathHash: message.HashPath(q.Path), Host: []byte(q.Host)}}
 	x := Explanation{Known: true, Class: "short", Idempotent: s.idempotent&(1<<code) != 0}
 	x.Home, _ = c.homeInstance(s, d.hash)
 	partner := s.partnerOf(d.msg.Host, q.Caller)
