--- a/internal/standin/caller/operation.go
+++ b/internal/standin/caller/operation.go
@@ -13,71 +13,73 @@
 )
 
 const (
-	// maxComebacks is the number of times a caller comes back after a 5.03.
-	maxComebacks = 4
-	// maxEchoes is the number of admission tokens a request may be given.
-	maxEchoes = 6
-	// certificateFactor lengthens the deadline of certificates, for which some
-	// delay is acceptable.
-	certificateFactor = 3
-	// answerGrace is added to the deadline before a request is sent again.
-	answerGrace = time.Second
+	// maxRetries limits the new attempts of an operation after a 5.03.
+	maxRetries = 4
+	// maxEchoChallenges limits the 4.01 responses with an admission token to which
+	// one request is sent again.
+	maxEchoChallenges = 6
+	// certificateDeadlineFactor extends the deadline of certificate requests, for
+	// which some delay is acceptable.
+	certificateDeadlineFactor = 3
+	// responseGrace is the time after the deadline at which a request without a
+	// response is sent again.
+	responseGrace = time.Second
 )
 
-// operation is one thing a caller wants done.
+// operation describes one operation of a caller, which can take several attempts.
 type operation struct {
 	class   string
 	service string
 	path    string
 	post    bool
-	large   bool // many blocks, long to produce
+	large   bool // content of many blocks that takes long to produce
 }
 
 // perform carries out an operation and counts its result. It sends the same
-// request again when no response arrives, follows 4.01 with the Echo option,
-// comes back after a 5.03, and never sends a new request after a 5.04.
-func (c *Caller) perform(ctx context.Context, conn *conn, op operation, number uint64) {
+// request again if no response arrives, answers a 4.01 with the Echo option,
+// retries after a 5.03 and sends no new request after a 5.04.
+func (g *Generator) perform(ctx context.Context, conn *callerConn, op operation, number uint64) {
 	began := time.Now()
-	c.stats.class(op.class, func(k *wire.Class) { k.Started++ })
-	id := wire.ID{Service: op.service, Caller: conn.name, Operation: number}
+	g.stats.updateClass(op.class, func(k *wire.ClassCounts) { k.Started++ })
+	id := wire.ID{Service: op.service, Caller: conn.caller, Operation: number}
 	for id.Attempt = 1; ; id.Attempt++ {
-		a, err := c.attempt(ctx, conn, op, id)
+		resp, err := g.runAttempt(ctx, conn, op, id)
 		switch {
 		case err != nil:
-			c.failed(op, id, began, wire.KindLost, err.Error())
-		case a.code == codes.Content || a.code == codes.Changed:
-			if _, err := wire.Verify(a.body, op.service, id.String()); err != nil {
-				c.failed(op, id, began, wire.KindCrossed, err.Error())
+			g.recordFailure(op, id, began, wire.KindLost, err.Error())
+		case resp.code == codes.Content || resp.code == codes.Changed:
+			if _, err := wire.Verify(resp.body, op.service, id.String()); err != nil {
+				g.recordFailure(op, id, began, wire.KindWrongContent, err.Error())
 				break
 			}
-			c.stats.class(op.class, func(k *wire.Class) { k.OK++ })
-			c.stats.took(op.class, time.Since(began))
-		case a.code == codes.ServiceUnavailable && id.Attempt <= maxComebacks:
-			c.notRun(id, a)
-			c.stats.class(op.class, func(k *wire.Class) { k.Comebacks++ })
-			if sleep(ctx, a.maxAge) {
+			g.stats.updateClass(op.class, func(k *wire.ClassCounts) { k.OK++ })
+			g.stats.recordLatency(op.class, time.Since(began))
+		case resp.code == codes.ServiceUnavailable && id.Attempt <= maxRetries:
+			g.recordRefusal(id, resp)
+			g.stats.updateClass(op.class, func(k *wire.ClassCounts) { k.Retries++ })
+			if sleep(ctx, resp.maxAge) {
 				continue
 			}
-			c.failed(op, id, began, wire.KindRefused, "run ended")
-		case a.code == codes.ServiceUnavailable || a.code == codes.Unauthorized:
-			c.notRun(id, a)
-			c.failed(op, id, began, wire.KindRefused, a.code.String())
-		case a.code == codes.GatewayTimeout:
-			c.failed(op, id, began, wire.KindUnknown, string(a.body)+"; "+c.outcome(ctx, conn, op, id))
+			g.recordFailure(op, id, began, wire.KindRefused, "run ended")
+		case resp.code == codes.ServiceUnavailable || resp.code == codes.Unauthorized:
+			g.recordRefusal(id, resp)
+			g.recordFailure(op, id, began, wire.KindRefused, resp.code.String())
+		case resp.code == codes.GatewayTimeout:
+			g.recordFailure(op, id, began, wire.KindUnknown, string(resp.body)+"; "+g.queryOutcome(ctx, conn, op, id))
 		default:
-			c.failed(op, id, began, wire.KindFailed, a.code.String())
+			g.recordFailure(op, id, began, wire.KindFailed, resp.code.String())
 		}
 		return
 	}
 }
 
-func (c *Caller) failed(op operation, id wire.ID, began time.Time, kind, detail string) {
-	c.stats.class(op.class, func(k *wire.Class) {
+func (g *Generator) recordFailure(op operation, id wire.ID, began time.Time, kind, detail string) {
+	g.stats.updateClass(op.class, func(k *wire.ClassCounts) {
 		switch kind {
 		case wire.KindLost:
 			k.Lost++
-		case wire.KindCrossed:
-			k.Wrong++
+		case wire.KindWrongContent:
+			k.WrongContent++
 		case wire.KindRefused:
 			k.Refused++
 		case wire.KindUnknown:
@@ -86,100 +88,103 @@
 			k.Failed++
 		}
 	})
-	c.stats.fail(wire.Failure{
+	g.stats.addFailure(wire.Failure{
 		ID: id.String(), Class: op.class, Kind: kind, Detail: detail,
 		Start: began.UnixMilli(), End: time.Now().UnixMilli(),
 	})
 }
 
-// notRun records a refusal that says that the request has not run: 4.01, or
-// 5.03 with that payload. Any other 5.03 says only when to come back.
-func (c *Caller) notRun(id wire.ID, a answer) {
-	c.stats.refused(id.String(), a.code == codes.Unauthorized || string(a.body) == "not run")
+// recordRefusal records a refusal. A 4.01, or a 5.03 with the payload "not run",
+// states that the request was not executed; any other 5.03 only tells when to
+// retry.
+func (g *Generator) recordRefusal(id wire.ID, resp response) {
+	g.stats.addRefusal(id.String(), resp.code == codes.Unauthorized || string(resp.body) == "not run")
 }
 
-// attempt sends one request until it has a final answer, and fetches all blocks
-// of the answer. The request is lost when the answer is not complete by its
-// deadline plus the CoAP transmission span.
-func (c *Caller) attempt(ctx context.Context, conn *conn, op operation, id wire.ID) (answer, error) {
-	deadline := c.opt.Deadline
+// runAttempt sends one request until it gets a final response, and fetches all
+// blocks of the response. It fails if the response is not complete by the deadline
+// plus MAX_TRANSMIT_SPAN.
+func (g *Generator) runAttempt(ctx context.Context, conn *callerConn, op operation, id wire.ID) (response, error) {
+	deadline := g.opt.Deadline
 	if op.class == Certificate || op.class == LargeCertificate {
-		deadline *= certificateFactor
+		deadline *= certificateDeadlineFactor
 	}
-	ctx, cancel := context.WithTimeout(ctx, deadline+c.opt.transmitSpan())
+	ctx, cancel := context.WithTimeout(ctx, deadline+g.opt.maxTransmitSpan())
 	defer cancel()
-	q := question{code: codes.GET, path: op.path, id: id.String()}
+	req := request{code: codes.GET, path: op.path, id: id.String()}
 	if op.post {
-		q.code = codes.POST
+		req.code = codes.POST
 	}
-	whole, err := c.persist(ctx, conn, op, &q)
-	for err == nil && whole.more {
-		q.block++
-		var a answer
-		a, err = c.persist(ctx, conn, op, &q)
+	result, err := g.sendWithRetries(ctx, conn, op, &req)
+	for err == nil && result.more {
+		req.block++
+		var resp response
+		resp, err = g.sendWithRetries(ctx, conn, op, &req)
 		switch {
 		case err != nil:
-		case a.code == codes.ServiceUnavailable:
-			// Nothing ran for this block; the blocks before it stay valid.
-			c.stats.class(op.class, func(k *wire.Class) { k.Comebacks++ })
-			q.block--
-			if !sleep(ctx, a.maxAge) {
-				err = eris.Wrapf(ctx.Err(), "block %d refused", q.block+1)
+		case resp.code == codes.ServiceUnavailable:
+			// This block was not served; the blocks before it remain valid.
+			g.stats.updateClass(op.class, func(k *wire.ClassCounts) { k.Retries++ })
+			req.block--
+			if !sleep(ctx, resp.maxAge) {
+				err = eris.Wrapf(ctx.Err(), "block %d refused", req.block+1)
 			}
-		case a.code != codes.Content || !bytes.Equal(a.etag, whole.etag):
-			return a, nil // the content does not pass the verification
+		case resp.code != codes.Content || !bytes.Equal(resp.etag, result.etag):
+			return resp, nil // Verify rejects this content
 		default:
-			whole.body = append(whole.body, a.body...)
-			whole.more = a.more
+			result.body = append(result.body, resp.body...)
+			result.more = resp.more
 		}
 	}
-	return whole, err
+	return result, err
 }
 
-// persist sends q until it has a final answer: again after a time-out, with the
-// same admission token if it has one, and with the Echo option after 4.01.
-func (c *Caller) persist(ctx context.Context, conn *conn, op operation, q *question) (answer, error) {
+// sendWithRetries sends req until it gets a final response: after a timeout it
+// sends req again with the same admission token, if any, and after a 4.01 with the
+// new token in the Echo option.
+func (g *Generator) sendWithRetries(ctx context.Context, conn *callerConn, op operation, req *request) (response, error) {
 	for echoes := 0; ; {
-		once, stop := context.WithTimeout(ctx, c.opt.Deadline+answerGrace)
-		a, err := conn.ask(once, *q)
+		sendCtx, stop := context.WithTimeout(ctx, g.opt.Deadline+responseGrace)
+		resp, err := conn.roundTrip(sendCtx, *req)
 		stop()
 		switch {
 		case err != nil && ctx.Err() == nil && errors.Is(err, context.DeadlineExceeded):
-			c.stats.class(op.class, func(k *wire.Class) { k.Repeats++ })
+			g.stats.updateClass(op.class, func(k *wire.ClassCounts) { k.Resends++ })
 		case err != nil:
-			return a, err
-		case a.code == codes.Unauthorized && len(a.echo) > 0 && echoes < maxEchoes:
-			c.stats.class(op.class, func(k *wire.Class) { k.Echoes++ })
-			q.echo = a.echo
+			return resp, err
+		case resp.code == codes.Unauthorized && len(resp.echo) > 0 && echoes < maxEchoChallenges:
+			g.stats.updateClass(op.class, func(k *wire.ClassCounts) { k.EchoChallenges++ })
+			req.echo = resp.echo
 			echoes++
 		default:
-			return a, nil
+			return resp, nil
 		}
 	}
 }
 
-// outcome asks the service whether an operation was executed.
-func (c *Caller) outcome(ctx context.Context, conn *conn, op operation, id wire.ID) string {
-	ask := operation{class: Outcome, service: op.service, path: "/outcome"}
-	asked := wire.ID{Service: op.service, Caller: conn.name + "-q", Operation: id.Operation, Attempt: 1}
-	ctx, cancel := context.WithTimeout(ctx, c.opt.Deadline+c.opt.transmitSpan())
+// queryOutcome queries the service whether an operation was executed. It returns
+// the state from the response, or "not told".
+func (g *Generator) queryOutcome(ctx context.Context, conn *callerConn, op operation, id wire.ID) string {
+	query := operation{class: OutcomeQuery, service: op.service, path: "/outcome"}
+	queryID := wire.ID{Service: op.service, Caller: conn.caller + "-q", Operation: id.Operation, Attempt: 1}
+	ctx, cancel := context.WithTimeout(ctx, g.opt.Deadline+g.opt.maxTransmitSpan())
 	defer cancel()
-	c.stats.class(ask.class, func(k *wire.Class) { k.Started++ })
-	a, err := conn.ask(ctx, question{code: codes.GET, path: ask.path, id: asked.String(), op: id.Op()})
-	if err != nil || a.code != codes.Content {
-		c.stats.class(ask.class, func(k *wire.Class) { k.Failed++ })
+	g.stats.updateClass(query.class, func(k *wire.ClassCounts) { k.Started++ })
+	resp, err := conn.roundTrip(ctx, request{code: codes.GET, path: query.path, id: queryID.String(), outcomeOf: id.OperationID()})
+	if err != nil || resp.code != codes.Content {
+		g.stats.updateClass(query.class, func(k *wire.ClassCounts) { k.Failed++ })
 		return "not told"
 	}
-	state, err := wire.Verify(a.body, op.service, asked.String())
+	state, err := wire.Verify(resp.body, op.service, queryID.String())
 	if err != nil {
-		c.failed(ask, asked, time.Now(), wire.KindCrossed, err.Error())
+		g.recordFailure(query, queryID, time.Now(), wire.KindWrongContent, err.Error())
 		return "not told"
 	}
-	c.stats.class(ask.class, func(k *wire.Class) { k.OK++ })
+	g.stats.updateClass(query.class, func(k *wire.ClassCounts) { k.OK++ })
 	return state
 }
 
-// sleep reports whether d passed before ctx ended.
+// sleep waits for d. It returns false if ctx is cancelled first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
