--- a/internal/proof/cells_test.go
+++ b/internal/proof/cells_test.go
@@ -11,9 +11,9 @@
 // subject is what a fault of the matrix is applied to: the instance and the
 // backend server that take part in the step.
 type subject struct {
-	w *world
-	n *node
-	v *server
+	sim    *simulation
+	node   *node
+	server *server
 }
 
 // fault is a row of the matrix.
@@ -22,37 +22,37 @@
 	planned bool // no feed may break and no outcome may be unknown
 	// uses tells what must take part in a step for the fault to apply: a
 	// caller's datagram or a backend server; empty for any step.
-	uses  string
-	apply func(s subject)
+	requires string
+	apply    func(s subject)
 }
 
 var faults = []fault{
-	{name: "instance killed", apply: func(s subject) { s.w.kill(s.n) }},
-	{name: "instance paused, woken", apply: func(s subject) { s.w.pause(s.n, 4*time.Second) }},
-	{name: "planned stop", planned: true, apply: func(s subject) { s.w.after(0, func() { s.w.stop(s.n) }) }},
-	{name: "instance joining", planned: true, apply: func(s subject) { s.w.after(0, func() { s.w.join(s.w.node("a3")) }) }},
-	{name: "link cut", apply: func(s subject) { s.w.cutLink(string(s.n.id), string(s.w.neighbour(s.n).id), false) }},
-	{name: "link cut one way", apply: func(s subject) { s.w.cutLink(string(s.n.id), string(s.w.neighbour(s.n).id), true) }},
-	{name: "data centre cut off", apply: func(s subject) { s.w.cutCentre(s.n.dc) }},
-	{name: "platform down", planned: true, apply: func(s subject) { s.w.platform.down, s.w.platformFault = true, s.w.now }},
+	{name: "instance killed", apply: func(s subject) { s.sim.kill(s.node) }},
+	{name: "instance paused, woken", apply: func(s subject) { s.sim.pause(s.node, 4*time.Second) }},
+	{name: "planned stop", planned: true, apply: func(s subject) { s.sim.after(0, func() { s.sim.stop(s.node) }) }},
+	{name: "instance joining", planned: true, apply: func(s subject) { s.sim.after(0, func() { s.sim.join(s.sim.node("a3")) }) }},
+	{name: "link cut", apply: func(s subject) { s.sim.cutLink(string(s.node.id), string(s.sim.localPeer(s.node).id), false) }},
+	{name: "link cut one way", apply: func(s subject) { s.sim.cutLink(string(s.node.id), string(s.sim.localPeer(s.node).id), true) }},
+	{name: "data centre cut off", apply: func(s subject) { s.sim.cutOffDataCentre(s.node.dc) }},
+	{name: "platform down", planned: true, apply: func(s subject) { s.sim.platform.down, s.sim.platformFault = true, s.sim.now }},
 	{name: "platform stale", planned: true, apply: func(s subject) {
-		s.w.platform.staleAt, s.w.platformFault = max(1, s.w.platform.revision()-1), s.w.now
+		s.sim.platform.staleAt, s.sim.platformFault = max(1, s.sim.platform.revision()-1), s.sim.now
 	}},
-	{name: "list stale", planned: true, apply: func(s subject) { s.w.listMode = listWrong; s.w.after(0, s.w.sendLists) }},
-	{name: "datagram lost", uses: "datagram", apply: func(s subject) { s.w.once = lost }},
-	{name: "datagram doubled", planned: true, uses: "datagram", apply: func(s subject) { s.w.once = doubled }},
-	{name: "datagram late", uses: "datagram", apply: func(s subject) { s.w.once = delayed }},
-	{name: "backend killed", uses: "backend", apply: func(s subject) { s.v.kill() }},
-	{name: "backend draining", planned: true, uses: "backend", apply: func(s subject) { s.v.drain(true) }},
-	{name: "backend shedding", planned: true, uses: "backend", apply: func(s subject) { s.v.shedding = true }},
-	{name: "backend lying healthy", uses: "backend", apply: func(s subject) { s.v.health = lyingHealthy; s.v.kill() }},
-	{name: "backend lying unhealthy", planned: true, uses: "backend", apply: func(s subject) { s.v.health = lyingUnhealthy }},
-	{name: "backend silent", uses: "backend", apply: func(s subject) { s.v.silent = true }},
+	{name: "list stale", planned: true, apply: func(s subject) { s.sim.listMode = listWrong; s.sim.after(0, s.sim.sendLists) }},
+	{name: "datagram lost", requires: "datagram", apply: func(s subject) { s.sim.nextFate = lost }},
+	{name: "datagram doubled", planned: true, requires: "datagram", apply: func(s subject) { s.sim.nextFate = duplicated }},
+	{name: "datagram late", requires: "datagram", apply: func(s subject) { s.sim.nextFate = delayed }},
+	{name: "backend killed", requires: "backend", apply: func(s subject) { s.server.kill() }},
+	{name: "backend draining", planned: true, requires: "backend", apply: func(s subject) { s.server.drain(true) }},
+	{name: "backend shedding", planned: true, requires: "backend", apply: func(s subject) { s.server.shedding = true }},
+	{name: "backend lying healthy", requires: "backend", apply: func(s subject) { s.server.health = falselyHealthy; s.server.kill() }},
+	{name: "backend lying unhealthy", planned: true, requires: "backend", apply: func(s subject) { s.server.health = falselyUnhealthy }},
+	{name: "backend silent", requires: "backend", apply: func(s subject) { s.server.silent = true }},
 }
 
 // neighbour returns another live instance of the data centre of n.
-func (w *world) neighbour(n *node) *node {
-	for _, o := range w.nodes {
+func (sim *simulation) localPeer(n *node) *node {
+	for _, o := range sim.nodes {
 		if o != n && o.dc == n.dc && o.alive && !o.stopped {
 			return o
 		}
@@ -62,124 +62,124 @@
 
 // step is a column of the matrix.
 type step struct {
-	group, name string
-	reach       string // the hook at which the fault is applied
-	kind        kind   // of the request, if one takes part
-	request     bool
-	feed        bool
-	absent      bool // a3 has been killed before
-	prepare     func(w *world)
+	group, name  string
+	trigger      string // the hook at which the fault is applied
+	kind         kind   // of the request, if one takes part
+	needsRequest bool
+	involvesFeed bool
+	a3Killed     bool // a3 has been killed before
+	prepare      func(sim *simulation)
 }
 
-func claims(count int) func(w *world) {
-	return func(w *world) {
+func sendPosts(count int) func(sim *simulation) {
+	return func(sim *simulation) {
 		for i := range count {
-			w.after(time.Duration(i)*3*time.Millisecond, func() { w.newOperation(claim, "counter", "a") })
+			sim.after(time.Duration(i)*3*time.Millisecond, func() { sim.newOperation(post, "counter", "a") })
 		}
 	}
 }
 
 var steps = []step{
-	{group: "request", name: "before token", reach: "received", kind: claim, request: true, prepare: claims(10)},
-	{group: "request", name: "token minted", reach: "token minted", kind: claim, request: true, prepare: claims(10)},
-	{group: "request", name: "token relayed", reach: "token relayed", kind: claim, request: true, prepare: claims(20)},
-	{group: "request", name: "queued", reach: "queued", kind: claim, prepare: func(w *world) {
-		for _, v := range w.servers {
+	{group: "request", name: "before token", trigger: "received", kind: post, needsRequest: true, prepare: sendPosts(10)},
+	{group: "request", name: "token minted", trigger: "token minted", kind: post, needsRequest: true, prepare: sendPosts(10)},
+	{group: "request", name: "token relayed", trigger: "token relayed", kind: post, needsRequest: true, prepare: sendPosts(20)},
+	{group: "request", name: "queued", trigger: "queued", kind: post, prepare: func(sim *simulation) {
+		for _, v := range sim.servers {
 			v.runTime = 300 * time.Millisecond
 		}
 		for range 30 {
-			w.newOperation(claim, "counter", "a")
+			sim.newOperation(post, "counter", "a")
 		}
 	}},
-	{group: "request", name: "dispatched", reach: "dispatched", kind: claim, request: true, prepare: claims(10)},
-	{group: "request", name: "response lost", reach: "answered", kind: claim, request: true, prepare: claims(10)},
-	{group: "feed", name: "registering", reach: "feed registering", kind: observe, request: true, feed: true, prepare: func(w *world) {
-		w.newOperation(observe, "alarm", "a")
+	{group: "request", name: "dispatched", trigger: "dispatched", kind: post, needsRequest: true, prepare: sendPosts(10)},
+	{group: "request", name: "response lost", trigger: "answered", kind: post, needsRequest: true, prepare: sendPosts(10)},
+	{group: "feed", name: "registering", trigger: "feed registering", kind: observe, needsRequest: true, involvesFeed: true, prepare: func(sim *simulation) {
+		sim.newOperation(observe, "alarm", "a")
 	}},
-	{group: "feed", name: "open", reach: "feed open", feed: true, prepare: func(w *world) {
-		w.after(time.Millisecond, func() { w.reach("feed open", w.holder(), nil) })
+	{group: "feed", name: "open", trigger: "feed open", involvesFeed: true, prepare: func(sim *simulation) {
+		sim.after(time.Millisecond, func() { sim.stepReached("feed open", sim.feedHolder(), nil) })
 	}},
-	{group: "feed", name: "moving", reach: "feed moving", feed: true, prepare: func(w *world) { w.stop(w.holder()) }},
-	{group: "handover", name: "feeds", reach: "feed taken", feed: true, prepare: func(w *world) { w.stop(w.holder()) }},
-	{group: "handover", name: "admissions", reach: "table moving", prepare: func(w *world) {
-		claims(10)(w)
-		w.after(time.Second, func() { w.stop(w.node("a1")) })
+	{group: "feed", name: "moving", trigger: "feed moving", involvesFeed: true, prepare: func(sim *simulation) { sim.stop(sim.feedHolder()) }},
+	{group: "handover", name: "feeds", trigger: "feed taken", involvesFeed: true, prepare: func(sim *simulation) { sim.stop(sim.feedHolder()) }},
+	{group: "handover", name: "admissions", trigger: "table moving", prepare: func(sim *simulation) {
+		sendPosts(10)(sim)
+		sim.after(time.Second, func() { sim.stop(sim.node("a1")) })
 	}},
-	{group: "configuration", name: "published", reach: "published", prepare: publishProfile},
-	{group: "configuration", name: "half have it", reach: "half", prepare: func(w *world) {
-		publishProfile(w)
-		w.every(time.Millisecond, func() {
+	{group: "configuration", name: "published", trigger: "published", prepare: publishNewWeights},
+	{group: "configuration", name: "half have it", trigger: "half", prepare: func(sim *simulation) {
+		publishNewWeights(sim)
+		sim.every(time.Millisecond, func() {
 			count := 0
 			var first *node
-			for _, n := range w.nodes {
-				if n.alive && n.core.Snapshot().Revision >= ids.Revision(len(w.platform.documents)) {
+			for _, n := range sim.nodes {
+				if n.alive && n.core.Snapshot().Revision >= ids.Revision(len(sim.platform.documents)) {
 					count++
 					if first == nil && n.dc == "a" {
 						first = n
 					}
 				}
 			}
-			if first != nil && 2*count >= len(w.nodes) && w.step != nil {
-				w.reach("half", first, nil)
+			if first != nil && 2*count >= len(sim.nodes) && sim.onStep != nil {
+				sim.stepReached("half", first, nil)
 			}
 		})
 	}},
-	{group: "join", name: "asking peers", reach: "join asks peers", absent: true, prepare: func(w *world) { w.join(w.node("a3")) }},
-	{group: "join", name: "reading platform", reach: "join reads platform", absent: true, prepare: func(w *world) {
+	{group: "join", name: "asking peers", trigger: "join asks peers", a3Killed: true, prepare: func(sim *simulation) { sim.join(sim.node("a3")) }},
+	{group: "join", name: "reading platform", trigger: "join reads platform", a3Killed: true, prepare: func(w *simulation) {
 		// No peer answers until the platform is read.
 		for _, o := range w.nodes {
-			w.cut[[2]string{string(o.id), "a3"}], w.cut[[2]string{"a3", string(o.id)}] = true, true
+			w.cutLinks[[2]string{string(o.id), "a3"}], w.cutLinks[[2]string{"a3", string(o.id)}] = true, true
 		}
 		w.join(w.node("a3"))
 	}},
 }
 
-func publishProfile(w *world) {
-	w.after(time.Millisecond, func() { w.platform.publish("profile/p-counter", profileText(3, 4000), true) })
+func publishNewWeights(sim *simulation) {
+	sim.after(time.Millisecond, func() { sim.platform.publish("profile/p-counter", profileText(3, 4000), true) })
 }
 
 // holder returns an instance of data centre a that holds a feed.
-func (w *world) holder() *node {
-	for _, v := range w.servers {
+func (sim *simulation) feedHolder() *node {
+	for _, v := range sim.servers {
 		for _, r := range v.feeds {
-			if r.n.dc == "a" && r.n.alive && !r.n.stopped && r.n.core.Snapshot().Feeds > 0 {
-				return r.n
+			if r.node.dc == "a" && r.node.alive && !r.node.stopped && r.node.core.Snapshot().Feeds > 0 {
+				return r.node
 			}
 		}
 	}
-	return w.node("a1")
+	return sim.node("a1")
 }
 
 // subjectOf chooses the instance and the backend server for a fault at a step.
-func (w *world) subjectOf(c *step, n *node, x *exchange) subject {
-	s := subject{w: w, n: n}
-	if s.n == nil { // a publication: one of the two instances that watch
-		for _, o := range w.nodes {
+func (sim *simulation) subjectOf(st *step, n *node, x *exchange) subject {
+	s := subject{sim: sim, node: n}
+	if s.node == nil { // a publication: one of the two instances that watch
+		for _, o := range sim.nodes {
 			if o.alive && o.dc == "a" && o.core.Snapshot().Watcher {
-				s.n = o
+				s.node = o
 				break
 			}
 		}
 	}
 	service := ids.Service("counter")
-	if c.feed {
+	if st.involvesFeed {
 		service = "alarm"
 	}
 	if x != nil {
-		s.v = x.dispatched
+		s.server = x.dispatchedTo
 	}
-	for _, v := range w.servers {
-		if v.service != service || v.dc != "a" || s.v != nil {
+	for _, v := range sim.servers {
+		if v.service != service || v.dc != "a" || s.server != nil {
 			continue
 		}
-		if !c.feed || slices.ContainsFunc(v.feeds, func(r *registration) bool { return r.n == s.n }) {
-			s.v = v
+		if !st.involvesFeed || slices.ContainsFunc(v.feeds, func(r *registration) bool { return r.node == s.node }) {
+			s.server = v
 		}
 	}
-	if s.v == nil {
-		s.v = w.servers[0]
-		if c.feed {
-			s.v = w.servers[targetsPerCentre]
+	if s.server == nil {
+		s.server = sim.servers[0]
+		if st.involvesFeed {
+			s.server = sim.servers[targetsPerDataCentre]
 		}
 	}
 	return s
@@ -187,43 +187,43 @@
 
 // second returns the subject of the second fault of a pair: another instance
 // and another backend server of the same data centre and service.
-func (s subject) second() subject {
-	t := subject{w: s.w, n: s.w.neighbour(s.n), v: s.v}
-	for _, v := range s.w.servers {
-		if v != s.v && v.service == s.v.service && v.dc == s.v.dc {
-			t.v = v
+func (s subject) secondSubject() subject {
+	other := subject{sim: s.sim, node: s.sim.localPeer(s.node), server: s.server}
+	for _, v := range s.sim.servers {
+		if v != s.server && v.service == s.server.service && v.dc == s.server.dc {
+			other.server = v
 		}
 	}
-	return t
+	return other
 }
 
 // affected are the feeds that the faults of subjects may break.
-func (w *world) affected(subjects []subject) map[*feed]bool {
-	m := map[*feed]bool{}
-	for _, v := range w.servers {
+func (sim *simulation) affected(subjects []subject) map[*feed]bool {
+	feeds := map[*feed]bool{}
+	for _, v := range sim.servers {
 		for _, r := range v.feeds {
 			for _, s := range subjects {
-				if r.n == s.n || v == s.v {
-					m[r.x.feed] = true
+				if r.node == s.node || v == s.server {
+					feeds[r.exchange.feed] = true
 				}
 			}
 		}
 	}
-	return m
+	return feeds
 }
 
 // addMoving adds the feeds of stopping instances to m.
-func (w *world) addMoving(m map[*feed]bool) {
-	for _, v := range w.servers {
+func (sim *simulation) addFeedsOfStopping(feeds map[*feed]bool) {
+	for _, v := range sim.servers {
 		for _, r := range v.feeds {
-			if r.n.stopped {
-				m[r.x.feed] = true
+			if r.node.stopped {
+				feeds[r.exchange.feed] = true
 			}
 		}
 	}
 }
 
 // unknown reports whether x ended with an unknown outcome.
-func (x *exchange) unknown() bool {
-	return x.feed == nil && x.final != nil && x.final.Code == message.GatewayTimeout
+func (x *exchange) outcomeUnknown() bool {
+	return x.feed == nil && x.response != nil && x.response.Code == message.GatewayTimeout
 }
--- a/internal/proof/faults_test.go
+++ b/internal/proof/faults_test.go
@@ -8,57 +8,57 @@
 )
 
 // kill ends the process of n at once.
-func (w *world) kill(n *node) {
+func (sim *simulation) kill(n *node) {
 	if !n.alive {
 		return
 	}
-	w.note("kill %s", n.id)
-	w.excuse(n)
+	sim.recordEvent("kill %s", n.id)
+	sim.markInterrupted(n)
 	n.alive = false
-	if n.leaving == 0 {
-		n.leaving = w.now
+	if n.leftAt == 0 {
+		n.leftAt = sim.now
 	}
-	w.loosen()
+	sim.relaxFeedChecks()
 }
 
 // join starts a new process of n.
-func (w *world) join(n *node) {
+func (sim *simulation) join(n *node) {
 	if n.alive {
 		return
 	}
-	w.note("join %s", n.id)
-	w.start(n)
+	sim.recordEvent("join %s", n.id)
+	sim.start(n)
 }
 
 // stop begins the planned stop of n.
-func (w *world) stop(n *node) {
+func (sim *simulation) stop(n *node) {
 	if !n.alive || n.stopped {
 		return
 	}
-	w.note("stop %s", n.id)
+	sim.recordEvent("stop %s", n.id)
 	n.stopped = true
-	if n.leaving == 0 {
-		n.leaving = w.now
+	if n.leftAt == 0 {
+		n.leftAt = sim.now
 	}
-	w.call(n, func(c *core.Core, out *core.Effects) { c.Stop(n.now(), out) })
+	sim.call(n, func(c *core.Core, out *core.Effects) { c.Stop(n.now(), out) })
 }
 
 // pause stops the process of n and wakes it after d.
-func (w *world) pause(n *node, d time.Duration) {
+func (sim *simulation) pause(n *node, d time.Duration) {
 	if !n.alive || n.paused {
 		return
 	}
-	w.note("pause %s for %v", n.id, d)
-	w.excuse(n)
+	sim.recordEvent("pause %s for %v", n.id, d)
+	sim.markInterrupted(n)
 	n.paused = true
-	w.loosen()
-	run := n.run
-	w.after(d, func() {
-		if n.run != run || !n.alive {
+	sim.relaxFeedChecks()
+	incarnation := n.incarnation
+	sim.after(d, func() {
+		if n.incarnation != incarnation || !n.alive {
 			return
 		}
-		w.excuse(n)
-		w.loosen()
+		sim.markInterrupted(n)
+		sim.relaxFeedChecks()
 		n.paused = false
 		n.revisions = nil
 		inbox := n.inbox
@@ -70,67 +70,67 @@
 }
 
 // cutLink cuts the link from a to b, and back unless oneWay.
-func (w *world) cutLink(a, b string, oneWay bool) {
-	w.note("cut %s %s, one way %v", a, b, oneWay)
-	w.cut[[2]string{a, b}] = true
+func (sim *simulation) cutLink(a, b string, oneWay bool) {
+	sim.recordEvent("cut %s %s, one way %v", a, b, oneWay)
+	sim.cutLinks[[2]string{a, b}] = true
 	if !oneWay {
-		w.cut[[2]string{b, a}] = true
+		sim.cutLinks[[2]string{b, a}] = true
 	}
 	if a == platformID || b == platformID {
-		w.platformFault = w.now
+		sim.platformFault = sim.now
 	} else {
-		w.linkFault = w.now
+		sim.linkFault = sim.now
 	}
-	w.loosen()
+	sim.relaxFeedChecks()
 }
 
 // cutCentre cuts a data centre off from the others and from the platform.
-func (w *world) cutCentre(dc ids.DataCentre) {
-	for _, n := range w.nodes {
+func (sim *simulation) cutOffDataCentre(dc ids.DataCentre) {
+	for _, n := range sim.nodes {
 		if n.dc != dc {
 			continue
 		}
-		w.cutLink(string(n.id), platformID, false)
-		for _, o := range w.nodes {
+		sim.cutLink(string(n.id), platformID, false)
+		for _, o := range sim.nodes {
 			if o.dc != dc {
-				w.cutLink(string(n.id), string(o.id), false)
+				sim.cutLink(string(n.id), string(o.id), false)
 			}
 		}
 	}
 }
 
 // heal ends all faults of links, the platform and datagrams.
-func (w *world) heal() {
-	if len(w.cut) > 0 || w.platform.down || w.platform.staleAt != 0 {
-		w.linkFault, w.platformFault = w.now, w.now
+func (sim *simulation) heal() {
+	if len(sim.cutLinks) > 0 || sim.platform.down || sim.platform.staleAt != 0 {
+		sim.linkFault, sim.platformFault = sim.now, sim.now
 	}
-	clear(w.cut)
-	w.platform.down, w.platform.staleAt, w.listMode = false, 0, listCurrent
-	w.loss, w.double, w.late = 0, 0, 0
-	w.note("heal")
+	clear(sim.cutLinks)
+	sim.platform.down, sim.platform.staleAt, sim.listMode = false, 0, listCurrent
+	sim.lossPercent, sim.duplicatePercent, sim.delayPercent = 0, 0, 0
+	sim.recordEvent("heal")
 }
 
 // recover restores the backend servers.
-func (w *world) recover() {
-	for _, v := range w.servers {
-		v.alive, v.silent, v.shedding, v.crossed, v.failing, v.health = true, false, false, false, false, honest
+func (sim *simulation) restoreServers() {
+	for _, v := range sim.servers {
+		v.alive, v.silent, v.shedding, v.swapsMessageIDs, v.resetting, v.health = true, false, false, false, false, accurateHealth
 		v.runTime = 20 * time.Millisecond
 		v.drain(false)
 	}
 }
 
 // drainDocument publishes the service of v with v draining or not.
-func (w *world) drainDocument(v *server, on bool) {
-	v.drainDocument = on
+func (sim *simulation) publishDrain(v *server, on bool) {
+	v.drainPublished = on
 	v.drain(on)
-	w.platform.publish("service/"+string(v.service), w.serviceText(v.service), true)
+	sim.platform.publish("service/"+string(v.service), sim.serviceText(v.service), true)
 }
 
 // repeat delivers a request of a caller again, to another instance.
-func (w *world) repeat(x *exchange, n *node) {
+func (sim *simulation) redeliver(x *exchange, n *node) {
 	if x.feed != nil {
 		return
 	}
 	x.repeated = true
-	x.deliverTo(n, x.datagram())
+	x.deliverTo(n, x.encodeRequest())
 }
--- a/internal/proof/matrix_test.go
+++ b/internal/proof/matrix_test.go
@@ -17,14 +17,14 @@
 	faultTime = 20 * time.Second // after which the fault ends
 	// probeTime is the time before the end of a fault of a backend server from
 	// which requests reach other backend servers: a probe request may fail.
-	probeTime = 6 * time.Second
-	maxProbes = 3
+	probeTime         = 6 * time.Second
+	maxFailedRequests = 3
 	// feedBound is the time in which a feed is back after an unplanned fault
 	// of its instance or backend server: the caller's patience and the next
 	// notification, and for each failed backend server a registration (three
 	// transmissions, a sweep every second) and the time to the next attempt.
-	feedBound  = feedPatience + 2*time.Second
-	feedBoundN = 6 * time.Second
+	feedBound          = feedTimeout + 2*time.Second
+	feedBoundPerServer = 6 * time.Second
 )
 
 // cell is one run of the matrix: faults applied at a step.
@@ -46,9 +46,9 @@
 func (c *cell) notApplicable() string {
 	for _, f := range c.faults {
 		switch {
-		case f.uses == "datagram" && !c.step.request:
+		case f.requires == "datagram" && !c.step.needsRequest:
 			return "n/a 1"
-		case f.uses == "backend" && (c.step.group == "configuration" || c.step.group == "join"):
+		case f.requires == "backend" && (c.step.group == "configuration" || c.step.group == "join"):
 			return "n/a 2"
 		case f.name == "planned stop" && c.step.name == "moving":
 			return "n/a 3"
@@ -57,168 +57,168 @@
 	return ""
 }
 
-func (c *cell) run(seed uint64) {
+func (c *cell) execute(seed uint64) {
 	if c.result = c.notApplicable(); c.result != "" {
 		return
 	}
-	size := 3
+	perCentre := 3
 	if len(c.faults) > 1 && (c.step.group == "handover" || c.step.name == "moving") {
-		size = 4 // three instances may leave
+		perCentre = 4 // three instances may leave
 	}
-	w := newWorld(seed, size)
-	w.every(time.Second, w.refreshFeeds)
+	sim := newSimulation(seed, perCentre)
+	sim.every(time.Second, sim.reregisterSilentFeeds)
 	planned := true
 	for _, f := range c.faults {
 		planned = planned && f.planned
-		if f.name == "instance joining" || c.step.absent {
-			w.kill(w.node("a3"))
+		if f.name == "instance joining" || c.step.a3Killed {
+			sim.kill(sim.node("a3"))
 		}
 	}
-	w.advance(12 * time.Second)
+	sim.advance(12 * time.Second)
 	for i := range 8 {
-		w.newOperation(observe, "alarm", centres[i/4%2])
+		sim.newOperation(observe, "alarm", dataCentres[i/4%2])
 	}
-	w.advance(3 * time.Second)
-	for _, f := range w.feeds {
-		f.strict = true // until an unplanned fault
+	sim.advance(3 * time.Second)
+	for _, f := range sim.feeds {
+		f.uninterrupted = true // until an unplanned fault
 	}
 	var subjects []subject
 	var affected map[*feed]bool
-	w.step = func(name string, n *node, x *exchange) {
-		if name != c.step.reach || x != nil && x.op.kind != c.step.kind || c.step.request && x == nil {
+	sim.onStep = func(name string, n *node, x *exchange) {
+		if name != c.step.trigger || x != nil && x.operation.kind != c.step.kind || c.step.needsRequest && x == nil {
 			return
 		}
-		w.step = nil
-		s := w.subjectOf(c.step, n, x)
+		sim.onStep = nil
+		s := sim.subjectOf(c.step, n, x)
 		subjects = append(subjects, s)
 		if len(c.faults) > 1 {
-			subjects = append(subjects, s.second())
+			subjects = append(subjects, s.secondSubject())
 		}
-		affected = w.affected(subjects)
+		affected = sim.affected(subjects)
 		if c.step.group == "handover" || c.step.name == "moving" {
 			// A feed that is handed over may be registered at a server that
 			// fails now.
 			for _, f := range c.faults {
-				if f.uses == "backend" && !f.planned {
-					w.addMoving(affected)
+				if f.requires == "backend" && !f.planned {
+					sim.addFeedsOfStopping(affected)
 				}
 			}
 		}
 		switch c.step.name {
 		case "response lost":
-			w.once = lost
+			sim.nextFate = lost
 		case "reading platform":
-			clear(w.cut)
+			clear(sim.cutLinks)
 		}
 		for i, f := range c.faults {
 			s := subjects[i]
 			apply := func() {
 				if !f.planned {
-					w.loosen()
+					sim.relaxFeedChecks()
 				}
 				f.apply(s)
 			}
 			if i == 0 {
 				apply()
 			} else {
-				w.after(300*time.Millisecond, apply)
+				sim.after(300*time.Millisecond, apply)
 			}
 		}
 	}
-	c.step.prepare(w)
+	c.step.prepare(sim)
 	for i := range 20 {
-		w.after(time.Duration(i)*50*time.Millisecond, func() {
-			w.newOperation([]kind{get, claim, download}[i%3], "counter", centres[i%2])
+		sim.after(time.Duration(i)*50*time.Millisecond, func() {
+			sim.newOperation([]kind{get, post, download}[i%3], "counter", dataCentres[i%2])
 		})
 	}
-	w.advance(faultTime - probeTime)
-	if len(c.faults) == 1 && c.faults[0].uses == "backend" && subjects != nil {
-		c.probe(w, subjects[0].v.service)
+	sim.advance(faultTime - probeTime)
+	if len(c.faults) == 1 && c.faults[0].requires == "backend" && subjects != nil {
+		c.checkOtherServers(sim, subjects[0].server.service)
 	} else {
-		w.advance(probeTime)
+		sim.advance(probeTime)
 	}
-	w.heal()
-	w.recover()
-	for _, n := range w.nodes {
-		w.join(n)
+	sim.heal()
+	sim.restoreServers()
+	for _, n := range sim.nodes {
+		sim.join(n)
 	}
-	w.advance(answerBound)
-	w.step = nil
-	c.judge(w, subjects, affected, planned)
+	sim.advance(responseBound)
+	sim.onStep = nil
+	c.evaluate(sim, subjects, affected, planned)
 }
 
 // probe checks that requests reach other backend servers while one has a fault.
-func (c *cell) probe(w *world, service ids.Service) {
+func (c *cell) checkOtherServers(sim *simulation, service ids.Service) {
 	var list []*operation
 	for i := range 30 {
-		w.after(time.Duration(i)*probeTime/60, func() { list = append(list, w.newOperation(claim, service, "a")) })
+		sim.after(time.Duration(i)*probeTime/60, func() { list = append(list, sim.newOperation(post, service, "a")) })
 	}
-	w.advance(probeTime)
+	sim.advance(probeTime)
 	failed := 0
 	for _, op := range list {
-		if op.final != message.Content {
+		if op.code != message.Content {
 			failed++
 		}
 	}
-	if failed > maxProbes {
-		w.violate("%d of 30 requests failed %v after the fault of a backend server", failed, faultTime-probeTime)
+	if failed > maxFailedRequests {
+		sim.recordViolation("%d of 30 requests failed %v after the fault of a backend server", failed, faultTime-probeTime)
 	}
 }
 
 // judge applies the oracle and the bounds of the matrix.
-func (c *cell) judge(w *world, subjects []subject, affected map[*feed]bool, planned bool) {
+func (c *cell) evaluate(sim *simulation, subjects []subject, affected map[*feed]bool, planned bool) {
 	if subjects == nil {
-		w.violate("the step was not reached")
+		sim.recordViolation("the step was not reached")
 	}
-	unknown, broken, gap := 0, 0, time.Duration(0)
-	for _, x := range w.exchanges {
-		if !x.unknown() {
+	unknown, broken, longestGap := 0, 0, time.Duration(0)
+	for _, x := range sim.exchanges {
+		if !x.outcomeUnknown() {
 			continue
 		}
 		unknown++
-		caused := x.lost || x.excused
+		explained := x.lost || x.interrupted
 		for _, s := range subjects {
-			caused = caused || !planned && (x.dispatched == s.v || x.touched[s.n] != 0)
+			explained = explained || !planned && (x.dispatchedTo == s.server || x.handledBy[s.node] != 0)
 		}
-		if !caused {
-			w.violate("the outcome of exchange %d is unknown without a cause%s", x.index, x.op.trail())
+		if !explained {
+			sim.recordViolation("the outcome of exchange %d is unknown without a cause%s", x.index, x.operation.eventLog())
 		}
 	}
-	for _, f := range w.feeds {
+	for _, f := range sim.feeds {
 		if f.breaks == 0 {
 			continue
 		}
 		broken++
-		gap = max(gap, f.maxGap)
-		if !affected[f] && f.x.index < 8 {
-			w.violate("feed %d broke although it was not on the failed instance or backend server", f.x.op.index)
+		longestGap = max(longestGap, f.maxGap)
+		if !affected[f] && f.exchange.index < 8 {
+			sim.recordViolation("feed %d broke although it was not on the failed instance or backend server", f.exchange.operation.index)
 		}
-		if f.maxGap > feedBound+time.Duration(len(subjects))*feedBoundN {
-			w.violate("feed %d was silent for %v", f.x.op.index, f.maxGap)
+		if f.maxGap > feedBound+time.Duration(len(subjects))*feedBoundPerServer {
+			sim.recordViolation("feed %d was silent for %v", f.exchange.operation.index, f.maxGap)
 		}
 		if !f.established {
-			w.violate("feed %d is not open at the end", f.x.op.index)
+			sim.recordViolation("feed %d is not open at the end", f.exchange.operation.index)
 		}
 	}
-	w.checkEnds()
+	sim.checkFinalResponses()
 	var last []*operation
 	for i := range 8 {
-		last = append(last, w.newOperation([]kind{get, claim}[i%2], services[i/2%2], centres[i/4]))
+		last = append(last, sim.newOperation([]kind{get, post}[i%2], services[i/2%2], dataCentres[i/4]))
 	}
-	w.advance(2 * time.Second)
+	sim.advance(2 * time.Second)
 	for _, op := range last {
-		if op.final != message.Content {
-			w.violate("normal service has not resumed: operation %d got %v", op.index, op.final)
+		if op.code != message.Content {
+			sim.recordViolation("normal service has not resumed: operation %d got %v", op.index, op.code)
 		}
 	}
 	switch {
-	case len(w.violations) > 0:
+	case len(sim.violations) > 0:
 		c.result = "FAIL"
-		c.faultsSeen(w)
+		c.printViolations(sim)
 	case broken > 0 && unknown > 0:
-		c.result = fmt.Sprintf("f%d:%.0fs u%d", broken, gap.Seconds(), unknown)
+		c.result = fmt.Sprintf("f%d:%.0fs u%d", broken, longestGap.Seconds(), unknown)
 	case broken > 0:
-		c.result = fmt.Sprintf("f%d:%.0fs", broken, gap.Seconds())
+		c.result = fmt.Sprintf("f%d:%.0fs", broken, longestGap.Seconds())
 	case unknown > 0:
 		c.result = fmt.Sprintf("u%d", unknown)
 	default:
@@ -226,8 +226,8 @@
 	}
 }
 
-func (c *cell) faultsSeen(w *world) {
-	for i, v := range w.violations {
+func (c *cell) printViolations(sim *simulation) {
+	for i, v := range sim.violations {
 		if i < 4 {
 			fmt.Fprintf(os.Stderr, "%s: %s\n", c.name(), v)
 		}
@@ -268,14 +268,14 @@
 					if path == "" && (k%2 != i%2 || len(c.faults) > 1 && c.faults[0] == c.faults[1]) {
 						continue
 					}
-					c.run(uint64(i + 1))
+					c.execute(uint64(i + 1))
 					assert.Check(t, c.result != "FAIL", c.name())
 				}
 			})
 		}
 	})
 	if path != "" {
-		assert.NilError(t, os.WriteFile(path, []byte(table(rows, pairs)), 0o644))
+		assert.NilError(t, os.WriteFile(path, []byte(renderTable(rows, pairs)), 0o644))
 	}
 }
 
@@ -309,7 +309,7 @@
 	return rows
 }
 
-func table(rows, pairs [][]*cell) string {
+func renderTable(rows, pairs [][]*cell) string {
 	var b strings.Builder
 	b.WriteString("Fault matrix of internal/proof: a fault (row) at a step (column) on six real\ncores in two data centres. Printed by `make matrix`.\n\n")
 	tw := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
@@ -338,6 +338,6 @@
 	print("one fault", rows)
 	print("two faults, the second 0.3 s later on another instance or backend server", pairs)
 	_ = tw.Flush()
-	fmt.Fprintf(&b, legend[1:], feedBound+feedBoundN, feedBound+2*feedBoundN)
+	fmt.Fprintf(&b, legend[1:], feedBound+feedBoundPerServer, feedBound+2*feedBoundPerServer)
 	return b.String()
 }
--- a/internal/proof/platform_test.go
+++ b/internal/proof/platform_test.go
@@ -14,9 +14,9 @@
 type listMode uint8
 
 const (
-	listCurrent listMode = iota
-	listStale            // the first list, for ever
-	listWrong            // live instances as leaving or missing, dead ones as live
+	listCurrent  listMode = iota
+	listUnpruned          // the first list, for ever
+	listWrong             // live instances as leaving or missing, dead ones as live
 )
 
 const (
@@ -26,7 +26,7 @@
 
 // platform is the fake configuration service. Documents have a global revision.
 type platform struct {
-	w         *world
+	sim       *simulation
 	documents []core.Publication // in order of revision, all publications
 	down      bool
 	staleAt   ids.Revision // serves the state of this revision; 0: current
@@ -36,17 +36,17 @@
 
 // publication is an accepted document and when it was published.
 type publication struct {
-	revision ids.Revision
-	at       ids.Time
-	checked  bool
+	revision    ids.Revision
+	publishedAt ids.Time
+	checked     bool
 }
 
 // read is a pending read or watch of an instance.
 type read struct {
-	n     *node
-	run   ids.Incarnation
-	after ids.Revision
-	done  bool
+	node        *node
+	incarnation ids.Incarnation
+	after       ids.Revision
+	done        bool
 }
 
 func (p *platform) revision() ids.Revision {
@@ -57,57 +57,57 @@
 }
 
 // publish adds a document; good tells whether instances should accept it.
-func (p *platform) publish(key, value string, good bool) ids.Revision {
+func (p *platform) publish(key, value string, valid bool) ids.Revision {
 	r := ids.Revision(len(p.documents) + 1)
 	p.documents = append(p.documents, core.Publication{Key: key, Revision: r, Value: []byte(value)})
-	if good {
-		p.published = append(p.published, publication{revision: r, at: p.w.now})
+	if valid {
+		p.published = append(p.published, publication{revision: r, publishedAt: p.sim.now})
 	}
-	p.w.reach("published", nil, nil)
+	p.sim.stepReached("published", nil, nil)
 	waiting := p.waiting
 	p.waiting = nil
 	for _, r := range waiting {
-		p.w.after(time.Millisecond, func() { p.answer(r) })
+		p.sim.after(time.Millisecond, func() { p.respond(r) })
 	}
 	return r
 }
 
-func (p *platform) cutOff(n *node) bool {
-	return p.w.cut[[2]string{string(n.id), platformID}] || p.w.cut[[2]string{platformID, string(n.id)}]
+func (p *platform) disconnected(n *node) bool {
+	return p.sim.cutLinks[[2]string{string(n.id), platformID}] || p.sim.cutLinks[[2]string{platformID, string(n.id)}]
 }
 
 func (p *platform) read(n *node, after ids.Revision, watch bool) {
-	r := &read{n: n, run: n.run, after: after}
-	if n.state() == "joining" {
-		p.w.reach("join reads platform", n, nil)
+	r := &read{node: n, incarnation: n.incarnation, after: after}
+	if n.lifecycle() == "joining" {
+		p.sim.stepReached("join reads platform", n, nil)
 	}
-	if p.down || p.cutOff(n) {
-		p.w.after(500*time.Millisecond, func() { p.fail(r) })
+	if p.down || p.disconnected(n) {
+		p.sim.after(500*time.Millisecond, func() { p.fail(r) })
 		return
 	}
 	if watch && p.revision() <= after {
 		p.waiting = append(p.waiting, r)
-		p.w.after(watchWait, func() { p.answer(r) })
+		p.sim.after(watchWait, func() { p.respond(r) })
 		return
 	}
-	p.w.after(readDelay, func() { p.answer(r) })
+	p.sim.after(readDelay, func() { p.respond(r) })
 }
 
 func (p *platform) fail(r *read) {
-	if !r.done && r.n.run == r.run {
+	if !r.done && r.node.incarnation == r.incarnation {
 		r.done = true
-		p.w.call(r.n, func(c *core.Core, out *core.Effects) {
-			c.HandleConfig(r.n.now(), &core.ConfigEvent{Err: errors.New("platform unreachable")}, out)
+		p.sim.call(r.node, func(c *core.Core, out *core.Effects) {
+			c.HandleConfig(r.node.now(), &core.ConfigEvent{Err: errors.New("platform unreachable")}, out)
 		})
 	}
 }
 
-func (p *platform) answer(r *read) {
-	if r.done || r.n.run != r.run {
+func (p *platform) respond(r *read) {
+	if r.done || r.node.incarnation != r.incarnation {
 		return
 	}
-	if p.down || p.cutOff(r.n) {
-		p.w.after(500*time.Millisecond, func() { p.fail(r) })
+	if p.down || p.disconnected(r.node) {
+		p.sim.after(500*time.Millisecond, func() { p.fail(r) })
 		return
 	}
 	r.done = true
@@ -128,7 +128,7 @@
 		latest[d.Key] = len(e.Documents)
 		e.Documents = append(e.Documents, d)
 	}
-	p.w.call(r.n, func(c *core.Core, out *core.Effects) { c.HandleConfig(r.n.now(), e, out) })
+	p.sim.call(r.node, func(c *core.Core, out *core.Effects) { c.HandleConfig(r.node.now(), e, out) })
 }
 
 // services are the services of the model.
@@ -141,46 +141,46 @@
 }
 
 // serviceText is the document of a service with the current drains.
-func (w *world) serviceText(s ids.Service) string {
+func (sim *simulation) serviceText(s ids.Service) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "port = 5683\nprofile = \"p-%s\"\n", s)
-	for _, v := range w.servers {
+	for _, v := range sim.servers {
 		if v.service == s {
 			fmt.Fprintf(&b, "[[target]]\nname = %q\ndata_centre = %q\naddress = %q\nslots = 2\nhealth = \"http://%s/health\"\ndraining = %v\n",
-				v.target, v.dc, v.at, v.at, v.drainDocument)
+				v.target, v.dc, v.addr, v.addr, v.drainPublished)
 		}
 	}
 	return b.String()
 }
 
-func (w *world) publishAll() {
+func (sim *simulation) publishDocuments() {
 	for _, s := range services {
-		w.platform.publish("profile/p-"+string(s), profileText(1, 4000), true)
-		w.platform.publish("service/"+string(s), w.serviceText(s), true)
+		sim.platform.publish("profile/p-"+string(s), profileText(1, 4000), true)
+		sim.platform.publish("service/"+string(s), sim.serviceText(s), true)
 	}
 }
 
 // sendLists sends each instance the platform's list.
-func (w *world) sendLists() {
-	if w.platform.down {
+func (sim *simulation) sendLists() {
+	if sim.platform.down {
 		return
 	}
-	for i, n := range w.nodes {
+	for i, n := range sim.nodes {
 		e := &core.InstancesEvent{}
-		for k, o := range w.nodes {
+		for k, o := range sim.nodes {
 			entry := core.ListedInstance{ID: o.id, DataCentre: o.dc, PeerAddr: o.addr(), Leaving: o.stopped}
-			if w.listMode == listWrong {
+			if sim.listMode == listWrong {
 				if (i+k)%3 == 0 {
 					continue
 				}
 				entry.Leaving = o.alive
-			} else if w.listMode == listCurrent && !o.alive && w.now.Sub(o.leaving) > 10*time.Second {
+			} else if sim.listMode == listCurrent && !o.alive && sim.now.Sub(o.leftAt) > 10*time.Second {
 				continue
 			}
 			e.Instances = append(e.Instances, entry)
 		}
-		if !w.platform.cutOff(n) {
-			w.call(n, func(c *core.Core, out *core.Effects) { c.HandleInstances(n.now(), e, out) })
+		if !sim.platform.disconnected(n) {
+			sim.call(n, func(c *core.Core, out *core.Effects) { c.HandleInstances(n.now(), e, out) })
 		}
 	}
 }
--- a/internal/proof/random_test.go
+++ b/internal/proof/random_test.go
@@ -20,7 +20,7 @@
 
 // model is the state of a random run.
 type model struct {
-	*world
+	*simulation
 }
 
 func (m *model) node(rt *rapid.T) *node {
@@ -43,22 +43,22 @@
 
 func (m *model) requests(rt *rapid.T) {
 	for range rapid.SampledFrom([]int{1, 3, 40}).Draw(rt, "burst") {
-		k := rapid.SampledFrom([]kind{get, get, claim, claim, claim, long, download}).Draw(rt, "kind")
-		m.newOperation(k, rapid.SampledFrom(services).Draw(rt, "service"), rapid.SampledFrom(centres).Draw(rt, "dc"))
+		k := rapid.SampledFrom([]kind{get, get, post, post, post, longGet, download}).Draw(rt, "kind")
+		m.newOperation(k, rapid.SampledFrom(services).Draw(rt, "service"), rapid.SampledFrom(dataCentres).Draw(rt, "dc"))
 	}
 }
 
 // background sends a request, so that faults meet requests in every step.
-func (m *model) background() {
+func (m *model) sendBackgroundRequest() {
 	if len(m.operations) < 1000 {
 		i := len(m.operations)
-		m.newOperation([]kind{get, claim, claim, long, download}[i%5], services[i/5%2], centres[i/10%2])
+		m.newOperation([]kind{get, post, post, longGet, download}[i%5], services[i/5%2], dataCentres[i/10%2])
 	}
 }
 
 func (m *model) openFeed(rt *rapid.T) {
 	if len(m.feeds) < 8 {
-		m.newOperation(observe, "alarm", rapid.SampledFrom(centres).Draw(rt, "dc"))
+		m.newOperation(observe, "alarm", rapid.SampledFrom(dataCentres).Draw(rt, "dc"))
 	}
 }
 
@@ -67,31 +67,31 @@
 	m.platform.publish("profile/p-"+string(service), profileText(rapid.IntRange(1, 9).Draw(rt, "weight"), 4000), true)
 }
 
-func (m *model) finish(rt *rapid.T, settle time.Duration) {
+func (m *model) finish(rt *rapid.T, settleTime time.Duration) {
 	m.heal()
-	m.recover()
+	m.restoreServers()
 	for _, n := range m.nodes {
 		m.join(n)
 	}
-	m.advance(settle)
-	m.checkEnds()
+	m.advance(settleTime)
+	m.checkFinalResponses()
 	m.verify(rt)
-	total.add(m.world)
+	totals.add(m.simulation)
 }
 
 // total sums up the runs of this process.
-var total stats
+var totals stats
 
-func (s *stats) add(w *world) {
+func (s *stats) add(sim *simulation) {
 	if s.responses == nil {
 		s.responses = map[message.Code]int{}
 	}
-	for c, n := range w.stats.responses {
+	for c, n := range sim.stats.responses {
 		s.responses[c] += n
 	}
-	s.published += w.stats.published
-	s.joins += w.stats.joins
-	s.drained += w.stats.drained
+	s.published += sim.stats.published
+	s.firstRevisions += sim.stats.firstRevisions
+	s.sentWhileDraining += sim.stats.sentWhileDraining
 }
 
 // Guards against a violation of the invariants of docs/design.md section 1.2
@@ -99,13 +99,13 @@
 // servers, at random moments.
 func TestInvariantsUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		m := &model{world: newWorld(rapid.Uint64().Draw(rt, "seed"), 3)}
-		m.every(time.Second, m.refreshFeeds)
-		if gap := rapid.SampledFrom([]int{20, 100, 1000}).Draw(rt, "background"); gap < 1000 {
-			m.every(time.Duration(gap)*time.Millisecond, m.background)
+		m := &model{simulation: newSimulation(rapid.Uint64().Draw(rt, "seed"), 3)}
+		m.every(time.Second, m.reregisterSilentFeeds)
+		if intervalMS := rapid.SampledFrom([]int{20, 100, 1000}).Draw(rt, "background"); intervalMS < 1000 {
+			m.every(time.Duration(intervalMS)*time.Millisecond, m.sendBackgroundRequest)
 		}
-		any := func(label string, list ...int) int { return rapid.SampledFrom(list).Draw(rt, label) }
-		flip := func(label string) bool { return rapid.Bool().Draw(rt, label) }
+		drawInt := func(label string, list ...int) int { return rapid.SampledFrom(list).Draw(rt, label) }
+		drawBool := func(label string) bool { return rapid.Bool().Draw(rt, label) }
 		rt.Repeat(map[string]func(*rapid.T){
 			"":         m.verify,
 			"requests": m.requests,
@@ -117,56 +117,56 @@
 					if len(m.exchanges) > 0 {
 						x := m.exchanges[rapid.IntRange(max(0, len(m.exchanges)-20), len(m.exchanges)-1).Draw(rt, "exchange")]
 						n := m.node(rt)
-						if n.dc == x.op.dc {
-							m.repeat(x, n)
+						if n.dc == x.operation.dataCentre {
+							m.redeliver(x, n)
 						}
 					}
 				}
 			},
 			"datagrams": func(rt *rapid.T) {
-				m.loss, m.double, m.late = any("loss", 0, 0, 0, 5, 20), any("double", 0, 0, 20), any("late", 0, 0, 10)
-				m.loosen()
+				m.lossPercent, m.duplicatePercent, m.delayPercent = drawInt("loss", 0, 0, 0, 5, 20), drawInt("double", 0, 0, 20), drawInt("late", 0, 0, 10)
+				m.relaxFeedChecks()
 			},
 			"kill":  func(rt *rapid.T) { m.kill(m.node(rt)) },
 			"join":  func(rt *rapid.T) { m.join(m.node(rt)) },
 			"join2": func(rt *rapid.T) { m.join(m.node(rt)) },
 			"stop":  func(rt *rapid.T) { m.stop(m.node(rt)) },
 			"pause": func(rt *rapid.T) {
-				m.pause(m.node(rt), time.Duration(any("ms", 300, 1500, 4000, 9000))*time.Millisecond)
+				m.pause(m.node(rt), time.Duration(drawInt("ms", 300, 1500, 4000, 9000))*time.Millisecond)
 			},
 			"cut": func(rt *rapid.T) {
 				to := string(m.node(rt).id)
-				if flip("platform") {
+				if drawBool("platform") {
 					to = platformID
 				}
-				m.cutLink(string(m.node(rt).id), to, flip("one way"))
+				m.cutLink(string(m.node(rt).id), to, drawBool("one way"))
 			},
-			"cut centre": func(rt *rapid.T) { m.cutCentre(rapid.SampledFrom(centres).Draw(rt, "dc")) },
+			"cut centre": func(rt *rapid.T) { m.cutOffDataCentre(rapid.SampledFrom(dataCentres).Draw(rt, "dc")) },
 			"heal":       func(rt *rapid.T) { m.heal() },
 			"platform": func(rt *rapid.T) {
-				m.platform.down = flip("down")
-				if flip("stale") {
+				m.platform.down = drawBool("down")
+				if drawBool("stale") {
 					m.platform.staleAt = max(1, m.platform.revision()-1)
 				}
 				m.platformFault = m.now
 			},
-			"list":    func(rt *rapid.T) { m.listMode = listMode(any("mode", 0, 1, 2)) },
+			"list":    func(rt *rapid.T) { m.listMode = listMode(drawInt("mode", 0, 1, 2)) },
 			"profile": m.profile,
 			"bad document": func(rt *rapid.T) {
 				m.platform.publish("service/counter", "port = 0\nprofile = 3\n[[target]]\nname = \"x\"\n", false)
 			},
 			"drain": func(rt *rapid.T) {
 				v := m.server(rt)
-				if flip("document") && !m.platform.down && m.platform.staleAt == 0 {
-					m.drainDocument(v, !v.draining)
-				} else if !v.drainDocument {
+				if drawBool("document") && !m.platform.down && m.platform.staleAt == 0 {
+					m.publishDrain(v, !v.draining)
+				} else if !v.drainPublished {
 					v.drain(!v.draining)
 				}
 			},
 			"backend": func(rt *rapid.T) {
 				v := m.server(rt)
-				m.loosen()
-				switch any("fault", 0, 1, 2, 3, 4, 5, 6, 7, 8) {
+				m.relaxFeedChecks()
+				switch drawInt("fault", 0, 1, 2, 3, 4, 5, 6, 7, 8) {
 				case 0:
 					v.kill()
 				case 1:
@@ -176,39 +176,39 @@
 				case 3:
 					v.silent = !v.silent
 				case 4:
-					v.crossed = !v.crossed
+					v.swapsMessageIDs = !v.swapsMessageIDs
 				case 8:
-					v.failing = !v.failing
+					v.resetting = !v.resetting
 				case 5:
-					v.runTime = time.Duration(any("run", 5, 100, 1500)) * time.Millisecond
+					v.runTime = time.Duration(drawInt("run", 5, 100, 1500)) * time.Millisecond
 				default:
-					v.health = healthMode(any("health", 0, 1, 2))
-					if v.health == honest && v.draining {
+					v.health = healthMode(drawInt("health", 0, 1, 2))
+					if v.health == accurateHealth && v.draining {
 						v.drainSince = m.now
 					}
 				}
 			},
 		})
-		m.finish(rt, answerBound+5*time.Second)
+		m.finish(rt, responseBound+5*time.Second)
 	})
-	t.Logf("checked: %+v", total)
+	t.Logf("checked: %+v", totals)
 }
 
 // Guards against a feed that a planned change interrupts, and against one that
 // stays registered twice.
 func TestFeedsUnderPlannedChange(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		m := &model{world: newWorld(rapid.Uint64().Draw(rt, "seed"), 3)}
-		m.every(time.Second, m.refreshFeeds)
+		m := &model{simulation: newSimulation(rapid.Uint64().Draw(rt, "seed"), 3)}
+		m.every(time.Second, m.reregisterSilentFeeds)
 		for i := range 6 {
-			m.newOperation(observe, "alarm", centres[i%2])
+			m.newOperation(observe, "alarm", dataCentres[i%2])
 		}
 		m.advance(3 * time.Second)
 		for _, f := range m.feeds {
 			if !f.established {
-				rt.Fatalf("feed %d is not established", f.x.op.index)
+				rt.Fatalf("feed %d is not established", f.exchange.operation.index)
 			}
-			f.strict = true
+			f.uninterrupted = true
 		}
 		rt.Repeat(map[string]func(*rapid.T){
 			"":         m.verify,
@@ -219,7 +219,7 @@
 				n := m.node(rt)
 				serving := 0
 				for _, o := range m.nodes {
-					if o.dc == n.dc && !o.stopped && o.state() == "serving" {
+					if o.dc == n.dc && !o.stopped && o.lifecycle() == "serving" {
 						serving++
 					}
 				}
@@ -230,24 +230,24 @@
 			"join": func(rt *rapid.T) { m.join(m.node(rt)) },
 			"drain": func(rt *rapid.T) {
 				v := m.server(rt)
-				others := 0
+				alternatives := 0
 				for _, o := range m.servers {
 					if o.dc == v.dc && o.service == v.service && !o.draining && o != v {
-						others++
+						alternatives++
 					}
 				}
-				if others == 0 {
+				if alternatives == 0 {
 					return // nothing to move to
 				}
-				m.drainDocument(v, !v.draining)
+				m.publishDrain(v, !v.draining)
 			},
 		})
 		m.advance(30 * time.Second)
 		for _, f := range m.feeds {
-			if c := m.registrations(f); c != 1 {
-				m.violate("feed %d has %d registrations", f.x.op.index, c)
+			if registrations := m.registrations(f); registrations != 1 {
+				m.recordViolation("feed %d has %d registrations", f.exchange.operation.index, registrations)
 			}
 		}
-		m.finish(rt, answerBound)
+		m.finish(rt, responseBound)
 	})
 }
--- a/internal/proof/server_test.go
+++ b/internal/proof/server_test.go
@@ -16,13 +16,13 @@
 type healthMode uint8
 
 const (
-	honest healthMode = iota
-	lyingHealthy
-	lyingUnhealthy
+	accurateHealth healthMode = iota
+	falselyHealthy
+	falselyUnhealthy
 )
 
 const (
-	targetsPerCentre = 3
+	targetsPerDataCentre = 3
 	// drainBound is the time after which a draining backend server gets no
 	// new work.
 	drainBound = 3 * time.Second
@@ -31,25 +31,25 @@
 
 // server is a fake backend server.
 type server struct {
-	w             *world
-	service       ids.Service
-	target        ids.Target
-	dc            ids.DataCentre
-	at            ids.Endpoint
-	alive         bool
-	draining      bool
-	drainDocument bool
-	drainSince    ids.Time
-	health        healthMode
-	shedding      bool
-	silent        bool // runs requests, responds to none
-	failing       bool // runs requests and answers with RST
-	crossed       bool // swaps message ids and repeats old responses
-	runTime       time.Duration
-	jobs          map[jobKey]*job
-	feeds         []*registration
-	nextID        uint16
-	executed      int
+	sim             *simulation
+	service         ids.Service
+	target          ids.Target
+	dc              ids.DataCentre
+	addr            ids.Endpoint
+	alive           bool
+	draining        bool
+	drainPublished  bool
+	drainSince      ids.Time
+	health          healthMode
+	shedding        bool
+	silent          bool // runs requests, responds to none
+	resetting       bool // runs requests and answers with RST
+	swapsMessageIDs bool // swaps message ids and repeats old responses
+	runTime         time.Duration
+	jobs            map[jobKey]*job
+	feeds           []*registration
+	nextID          uint16
+	executions      int
 }
 
 type jobKey struct {
@@ -59,30 +59,30 @@
 
 // job is a request at a backend server.
 type job struct {
-	at        ids.Time
-	m         *message.Message
-	x         *exchange
-	response  *message.Outgoing
-	acked     bool
-	cancelled bool
-	confirmed bool // the separate response was acknowledged
+	receivedAt ids.Time
+	request    *message.Message
+	exchange   *exchange
+	response   *message.Outgoing
+	acked      bool
+	cancelled  bool
+	confirmed  bool // the separate response was acknowledged
 }
 
 // registration is a feed at a backend server.
 type registration struct {
-	n     *node
-	token message.Token
-	x     *exchange
-	lastM uint16
+	node          *node
+	token         message.Token
+	exchange      *exchange
+	lastMessageID uint16
 }
 
-func (w *world) buildServers() {
-	for d, dc := range centres {
+func (sim *simulation) createServers() {
+	for d, dc := range dataCentres {
 		for s, name := range services {
-			for i := range targetsPerCentre {
-				w.servers = append(w.servers, &server{
-					w: w, service: name, target: ids.Target(fmt.Sprintf("%s-%d", dc, i)), dc: dc, alive: true,
-					at:      netip.AddrPortFrom(netip.AddrFrom4([4]byte{198, 51, byte(10*d + s), byte(i + 1)}), 5683),
+			for i := range targetsPerDataCentre {
+				sim.servers = append(sim.servers, &server{
+					sim: sim, service: name, target: ids.Target(fmt.Sprintf("%s-%d", dc, i)), dc: dc, alive: true,
+					addr:    netip.AddrPortFrom(netip.AddrFrom4([4]byte{198, 51, byte(10*d + s), byte(i + 1)}), 5683),
 					runTime: 20 * time.Millisecond, jobs: map[jobKey]*job{},
 				})
 			}
@@ -90,33 +90,33 @@
 	}
 }
 
-func (w *world) serverAt(at ids.Endpoint) *server {
-	for _, v := range w.servers {
-		if v.at == at {
+func (sim *simulation) serverAt(at ids.Endpoint) *server {
+	for _, v := range sim.servers {
+		if v.addr == at {
 			return v
 		}
 	}
 	return nil
 }
 
-func (w *world) toBackend(n *node, at ids.Endpoint, m *message.Message) {
-	v := w.serverAt(at)
+func (sim *simulation) sendToBackend(n *node, at ids.Endpoint, m *message.Message) {
+	v := sim.serverAt(at)
 	if v == nil {
-		w.violate("a datagram to %v, which is no backend server", at)
+		sim.recordViolation("a datagram to %v, which is no backend server", at)
 		return
 	}
-	x := w.exchangeOf(m)
+	x := sim.exchangeOf(m)
 	if x != nil {
-		x.touch(n)
+		x.recordHandler(n)
 		if m.HasObserve && m.Observe == 0 {
-			w.reach("feed registering", n, x)
+			sim.stepReached("feed registering", n, x)
 		} else {
-			x.dispatched = v
-			x.log("dispatched by %s id %d to %s", n.id, m.ID, v.at)
-			w.reach("dispatched", n, x)
+			x.dispatchedTo = v
+			x.logEvent("dispatched by %s id %d to %s", n.id, m.ID, v.addr)
+			sim.stepReached("dispatched", n, x)
 		}
 	}
-	w.datagram(x, func() { v.receive(n, m, x) })
+	sim.deliverDatagram(x, func() { v.receive(n, m, x) })
 }
 
 func (v *server) receive(n *node, m *message.Message, x *exchange) {
@@ -124,92 +124,92 @@
 		return
 	}
 	if !m.Code.IsRequest() {
-		v.empty(n, m)
+		v.handleEmpty(n, m)
 		return
 	}
 	if x == nil {
-		v.w.violate("%s got a request that no caller sent", v.target)
+		v.sim.recordViolation("%s got a request that no caller sent", v.target)
 		return
 	}
-	if x.op.service != v.service || x.op.dc != v.dc {
-		v.w.violate("a request of service %s reached %s of service %s", x.op.service, v.target, v.service)
+	if x.operation.service != v.service || x.operation.dataCentre != v.dc {
+		v.sim.recordViolation("a request of service %s reached %s of service %s", x.operation.service, v.target, v.service)
 	}
 	if m.HasObserve && m.Observe == 1 {
-		v.feeds = slices.DeleteFunc(v.feeds, func(r *registration) bool { return r.n == n && r.token == m.Token })
+		v.feeds = slices.DeleteFunc(v.feeds, func(r *registration) bool { return r.node == n && r.token == m.Token })
 		if m.Type == message.NonConfirmable {
 			return // the response is of no interest
 		}
 	}
-	k := jobKey{n.id, m.ID}
-	if j := v.jobs[k]; j != nil && j.m.Token == m.Token {
+	key := jobKey{n.id, m.ID}
+	if j := v.jobs[key]; j != nil && j.request.Token == m.Token {
 		if j.response != nil {
 			v.send(n, j, j.response)
 		}
 		return
 	}
-	j := &job{at: v.w.now, m: m, x: x}
-	v.jobs[k] = j
+	j := &job{receivedAt: v.sim.now, request: m, exchange: x}
+	v.jobs[key] = j
 	if m.HasObserve && m.Observe == 0 {
 		v.register(n, j)
 		return
 	}
-	v.work(n, j)
+	v.process(n, j)
 }
 
 // newWork checks that a draining backend server gets none.
-func (v *server) newWork(n *node, j *job) {
+func (v *server) checkNewWork(n *node, j *job) {
 	if v.draining {
-		v.w.stats.drained++
+		v.sim.stats.sentWhileDraining++
 	}
-	if v.draining && v.health == honest && v.w.now.Sub(v.drainSince) > drainBound {
-		v.w.violate("%s %s got new work from %s %v after it began to drain (exchange %d)", v.service, v.target, n.id, v.w.now.Sub(v.drainSince), j.x.index)
+	if v.draining && v.health == accurateHealth && v.sim.now.Sub(v.drainSince) > drainBound {
+		v.sim.recordViolation("%s %s got new work from %s %v after it began to drain (exchange %d)", v.service, v.target, n.id, v.sim.now.Sub(v.drainSince), j.exchange.index)
 	}
 }
 
-func (v *server) work(n *node, j *job) {
-	v.newWork(n, j)
-	o := &message.Outgoing{Type: message.Acknowledgement, Code: message.Content, ID: j.m.ID, Token: j.m.Token, Payload: j.x.body()}
-	if j.m.Type == message.NonConfirmable {
+func (v *server) process(n *node, j *job) {
+	v.checkNewWork(n, j)
+	response := &message.Outgoing{Type: message.Acknowledgement, Code: message.Content, ID: j.request.ID, Token: j.request.Token, Payload: j.exchange.expectedBody()}
+	if j.request.Type == message.NonConfirmable {
 		v.nextID++
-		o.Type, o.ID = message.NonConfirmable, v.nextID
+		response.Type, response.ID = message.NonConfirmable, v.nextID
 	}
 	if v.shedding {
-		o.Code, o.Payload = message.ServiceUnavailable, nil
-		v.respond(n, j, o)
+		response.Code, response.Payload = message.ServiceUnavailable, nil
+		v.respond(n, j, response)
 		return
 	}
-	j.x.ran(v)
+	j.exchange.recordExecution(v)
 	if v.silent {
 		return
 	}
-	if v.failing {
-		v.w.after(v.runTime, func() { v.respond(n, j, &message.Outgoing{Type: message.Reset, ID: j.m.ID}) })
+	if v.resetting {
+		v.sim.after(v.runTime, func() { v.respond(n, j, &message.Outgoing{Type: message.Reset, ID: j.request.ID}) })
 		return
 	}
-	if j.x.op.kind == download && j.x.block < lastBlock {
-		o.Template = []byte{0x60, byte(message.Content), 0, 0, 0xd1, 10, byte(j.x.block)<<4 | 8 | 2}
+	if j.exchange.operation.kind == download && j.exchange.block < lastBlockNumber {
+		response.Template = []byte{0x60, byte(message.Content), 0, 0, 0xd1, 10, byte(j.exchange.block)<<4 | 8 | 2}
 	}
-	run := v.runTime
-	if j.x.op.kind == long {
-		run *= 20
+	duration := v.runTime
+	if j.exchange.operation.kind == longGet {
+		duration *= 20
 	}
-	if run > time.Second && o.Type == message.Acknowledgement {
-		v.w.after(time.Second, func() {
+	if duration > time.Second && response.Type == message.Acknowledgement {
+		v.sim.after(time.Second, func() {
 			j.acked = true
-			v.respond(n, j, &message.Outgoing{Type: message.Acknowledgement, ID: j.m.ID})
+			v.respond(n, j, &message.Outgoing{Type: message.Acknowledgement, ID: j.request.ID})
 		})
 	}
-	v.w.after(run, func() {
+	v.sim.after(duration, func() {
 		if j.acked {
 			v.nextID++
-			o.Type, o.ID = message.Confirmable, v.nextID
-			v.w.after(2*time.Second, func() {
+			response.Type, response.ID = message.Confirmable, v.nextID
+			v.sim.after(2*time.Second, func() {
 				if !j.confirmed {
-					v.respond(n, j, o)
+					v.respond(n, j, response)
 				}
 			})
 		}
-		v.respond(n, j, o)
+		v.respond(n, j, response)
 	})
 }
 
@@ -218,10 +218,10 @@
 		return
 	}
 	j.response = o
-	if v.crossed {
-		v.w.after(time.Duration(v.w.rng.IntN(10_000))*time.Millisecond, func() { v.send(n, j, o) })
+	if v.swapsMessageIDs {
+		v.sim.after(time.Duration(v.sim.rng.IntN(10_000))*time.Millisecond, func() { v.send(n, j, o) })
 		for k, other := range v.sortedJobs() {
-			if k != j.m.ID && other.response == nil && o.Type == message.Acknowledgement {
+			if k != j.request.ID && other.response == nil && o.Type == message.Acknowledgement {
 				crossed := *o
 				crossed.ID = k
 				v.send(n, j, &crossed)
@@ -251,21 +251,21 @@
 }
 
 func (v *server) send(n *node, j *job, o *message.Outgoing) {
-	m := decode(o)
+	m := encodeAndDecode(o)
 	if o.Code != message.Empty {
-		v.w.reach("backend answers", n, j.x)
+		v.sim.stepReached("backend answers", n, j.exchange)
 	}
-	v.w.datagram(j.x, func() { v.w.fromBackend(n, v, m) })
+	v.sim.deliverDatagram(j.exchange, func() { v.sim.deliverFromBackend(n, v, m) })
 }
 
-func (w *world) fromBackend(n *node, v *server, m *message.Message) {
-	w.call(n, func(c *core.Core, out *core.Effects) {
-		c.HandleBackend(n.now(), &core.BackendEvent{From: v.at, Message: m}, out)
+func (sim *simulation) deliverFromBackend(n *node, v *server, m *message.Message) {
+	sim.call(n, func(c *core.Core, out *core.Effects) {
+		c.HandleBackend(n.now(), &core.BackendEvent{From: v.addr, Message: m}, out)
 	})
 }
 
 // empty handles an ACK or RST.
-func (v *server) empty(n *node, m *message.Message) {
+func (v *server) handleEmpty(n *node, m *message.Message) {
 	if j := v.jobs[jobKey{n.id, m.ID}]; j != nil && m.Type == message.Reset {
 		j.cancelled = true
 	}
@@ -275,47 +275,49 @@
 		}
 	}
 	if m.Type == message.Reset {
-		v.feeds = slices.DeleteFunc(v.feeds, func(r *registration) bool { return r.n == n && r.lastM == m.ID })
+		v.feeds = slices.DeleteFunc(v.feeds, func(r *registration) bool { return r.node == n && r.lastMessageID == m.ID })
 	}
 }
 
 func (v *server) register(n *node, j *job) {
-	o := &message.Outgoing{Type: message.Acknowledgement, Code: message.Content, ID: j.m.ID, Token: j.m.Token,
-		Payload: j.x.body(), SetObserve: true, Observe: v.sequence()}
-	known := slices.ContainsFunc(v.feeds, func(r *registration) bool { return r.n == n && r.token == j.m.Token })
-	if !known {
-		v.newWork(n, j)
+	response := &message.Outgoing{Type: message.Acknowledgement, Code: message.Content, ID: j.request.ID, Token: j.request.Token,
+		Payload: j.exchange.expectedBody(), SetObserve: true, Observe: v.observeSequence()}
+	registered := slices.ContainsFunc(v.feeds, func(r *registration) bool { return r.node == n && r.token == j.request.Token })
+	if !registered {
+		v.checkNewWork(n, j)
 		if v.shedding {
-			o = &message.Outgoing{Type: message.Acknowledgement, Code: message.ServiceUnavailable, ID: j.m.ID, Token: j.m.Token}
-			v.respond(n, j, o)
+			response = &message.Outgoing{Type: message.Acknowledgement, Code: message.ServiceUnavailable, ID: j.request.ID, Token: j.request.Token}
+			v.respond(n, j, response)
 			return
 		}
-		j.x.runs++
-		v.feeds = append(v.feeds, &registration{n: n, token: j.m.Token, x: j.x, lastM: j.m.ID})
+		j.exchange.executions++
+		v.feeds = append(v.feeds, &registration{node: n, token: j.request.Token, exchange: j.exchange, lastMessageID: j.request.ID})
 	}
 	if !v.silent {
-		v.respond(n, j, o)
+		v.respond(n, j, response)
 	}
 }
 
-func (v *server) sequence() uint32 { return uint32(v.w.now/ids.Time(time.Millisecond)) & 0xffffff }
+func (v *server) observeSequence() uint32 {
+	return uint32(v.sim.now/ids.Time(time.Millisecond)) & 0xffffff
+}
 
 // pushFeeds sends a notification for each registration.
-func (w *world) pushFeeds() {
-	for _, v := range w.servers {
+func (sim *simulation) sendNotifications() {
+	for _, v := range sim.servers {
 		if !v.alive || v.silent {
 			continue
 		}
 		for _, r := range v.feeds {
 			v.nextID++
-			r.lastM = v.nextID
-			kind := message.NonConfirmable
+			r.lastMessageID = v.nextID
+			messageType := message.NonConfirmable
 			if v.nextID%2 == 0 {
-				kind = message.Confirmable
+				messageType = message.Confirmable
 			}
-			m := decode(&message.Outgoing{Type: kind, Code: message.Content, ID: r.lastM, Token: r.token,
-				Payload: r.x.body(), SetObserve: true, Observe: v.sequence()})
-			w.datagram(r.x, func() { w.fromBackend(r.n, v, m) })
+			m := encodeAndDecode(&message.Outgoing{Type: messageType, Code: message.Content, ID: r.lastMessageID, Token: r.token,
+				Payload: r.exchange.expectedBody(), SetObserve: true, Observe: v.observeSequence()})
+			sim.deliverDatagram(r.exchange, func() { sim.deliverFromBackend(r.node, v, m) })
 		}
 	}
 }
@@ -331,33 +333,33 @@
 
 func (v *server) drain(on bool) {
 	if on && !v.draining {
-		v.drainSince = v.w.now
+		v.drainSince = v.sim.now
 	}
 	v.draining = on
 }
 
-func (w *world) checkHealth(n *node, s ids.Service, t ids.Target, url string) {
-	i := slices.IndexFunc(w.servers, func(v *server) bool { return v.service == s && v.target == t })
-	if i < 0 || !bytes.Contains([]byte(url), []byte(w.servers[i].at.String())) {
-		w.violate("a health check of %q, which is no target of %s", url, s)
+func (sim *simulation) checkHealth(n *node, s ids.Service, t ids.Target, url string) {
+	i := slices.IndexFunc(sim.servers, func(v *server) bool { return v.service == s && v.target == t })
+	if i < 0 || !bytes.Contains([]byte(url), []byte(sim.servers[i].addr.String())) {
+		sim.recordViolation("a health check of %q, which is no target of %s", url, s)
 		return
 	}
-	v := w.servers[i]
+	v := sim.servers[i]
 	d := 2 * time.Millisecond
 	if !v.alive {
 		d = healthWait
 	}
-	run := n.run
-	w.after(d, func() {
+	incarnation := n.incarnation
+	sim.after(d, func() {
 		e := &core.HealthEvent{Service: s, Target: t, Load: -1, Duration: d, Healthy: v.alive, Draining: v.alive && v.draining}
 		switch v.health {
-		case lyingHealthy:
+		case falselyHealthy:
 			e.Healthy, e.Draining = true, false
-		case lyingUnhealthy:
+		case falselyUnhealthy:
 			e.Healthy = false
 		}
-		if n.run == run {
-			w.call(n, func(c *core.Core, out *core.Effects) { c.HandleHealth(n.now(), e, out) })
+		if n.incarnation == incarnation {
+			sim.call(n, func(c *core.Core, out *core.Effects) { c.HandleHealth(n.now(), e, out) })
 		}
 	})
 }
--- a/internal/proof/share_test.go
+++ b/internal/proof/share_test.go
@@ -11,37 +11,37 @@
 // split offers four times the capacity of the counter service in data centre a
 // for d, a fifth of it from p0, and returns the part of the runs that p0 got
 // after the first half of d.
-func (w *world) split(d time.Duration) float64 {
-	end := w.now.Add(d)
+func (sim *simulation) measureShare(d time.Duration) float64 {
+	end := sim.now.Add(d)
 	n := 0
 	var send func()
 	send = func() {
-		if w.now >= end {
+		if sim.now >= end {
 			return
 		}
-		w.host = "p1"
+		sim.nextHost = "p1"
 		if n%5 == 0 {
-			w.host = "p0"
+			sim.nextHost = "p0"
 		}
-		w.newOperation(get, "counter", "a").retries = 1 // no return after a rejection
+		sim.newOperation(get, "counter", "a").retries = 1 // no return after a rejection
 		n++
-		w.after(time.Second/1200, send)
+		sim.after(time.Second/1200, send)
 	}
 	send()
-	w.advance(d / 2)
-	before := w.runsOf("p0", "p1")
-	w.advance(d / 2)
-	after := w.runsOf("p0", "p1")
-	p0, p1 := float64(after[0]-before[0]), float64(after[1]-before[1])
+	sim.advance(d / 2)
+	atHalf := sim.executionsByHost("p0", "p1")
+	sim.advance(d / 2)
+	atEnd := sim.executionsByHost("p0", "p1")
+	p0, p1 := float64(atEnd[0]-atHalf[0]), float64(atEnd[1]-atHalf[1])
 	return p0 / (p0 + p1)
 }
 
-func (w *world) runsOf(hosts ...string) []int {
+func (sim *simulation) executionsByHost(hosts ...string) []int {
 	runs := make([]int, len(hosts))
-	for _, op := range w.operations {
+	for _, op := range sim.operations {
 		for i, h := range hosts {
 			if op.host == h {
-				runs[i] += op.runs
+				runs[i] += op.executions
 			}
 		}
 	}
@@ -51,10 +51,10 @@
 // Guards against shares of capacity that do not follow the profile in force:
 // 1:1 at first and 3:1 two seconds after the change, within 5% of the capacity.
 func TestSharesFollowProfile(t *testing.T) {
-	w := newWorld(1, 3)
-	equal := w.split(4 * time.Second)
-	w.platform.publish("profile/p-counter", profileText(3, 4000), true)
-	unequal := w.split(4 * time.Second)
+	sim := newSimulation(1, 3)
+	equal := sim.measureShare(4 * time.Second)
+	sim.platform.publish("profile/p-counter", profileText(3, 4000), true)
+	unequal := sim.measureShare(4 * time.Second)
 	t.Logf("share of p0: %.3f of 0.400 offered by it at 1:1, %.3f at 3:1", equal, unequal)
 	assert.Assert(t, math.Abs(equal-0.5) < 0.05, "%v", equal)
 	assert.Assert(t, math.Abs(unequal-0.75) < 0.05, "%v", unequal)
