--- a/internal/proof/caller_test.go
+++ b/internal/proof/caller_test.go
@@ -12,26 +12,26 @@
 	"arbutusdock.example/arbutusdock/internal/message"
 )
 
-// kind is the kind of an operation of a caller.
+// kind is the type of an operation of a caller.
 type kind uint8
 
 const (
 	get      kind = iota // idempotent
 	post                 // non-idempotent
-	longGet              // idempotent, runs 20 times longer
+	longGet              // idempotent, takes 20 times as long as the others
 	download             // idempotent, three blocks
-	observe              // a feed
+	observe              // opens a feed: an observation as in RFC 7641
 )
 
 const (
 	lastBlockNumber = 2
 	ackTimeout      = 2 * time.Second // RFC 7252 section 4.8
 	maxRetries      = 4
-	maxTokens       = 4 // tokens that a caller uses for one claim
+	maxTokens       = 4 // Echo tokens that a caller uses for one non-idempotent operation
 	payloadSize     = 12
 )
 
-// operation is what a caller wants done, over one or more exchanges.
+// operation is what a caller wants done. It takes one or more exchanges.
 type operation struct {
 	sim        *simulation
 	index      int
@@ -42,11 +42,11 @@
 	host       string
 	executions int
 	tokenCount int
-	retries    int // after 5.03
+	retries    int // after a 5.03 response
 	code       message.Code
 }
 
-// exchange is one request of an operation, with all its transmissions.
+// exchange is one request of an operation with all its retransmissions.
 type exchange struct {
 	sim            *simulation
 	operation      *operation
@@ -58,7 +58,7 @@
 	transmissions  int // transmissions
 	acked          bool
 	lost           bool // one of its datagrams was lost
-	repeated       bool // one was doubled or delayed, so that it may be handled twice
+	repeated       bool // one was duplicated or delayed, so that the request may be handled twice
 	handledBy      map[*node]ids.Incarnation
 	interrupted    bool // an instance that handled it was killed or paused
 	executions     int
@@ -80,7 +80,7 @@
 	return fmt.Appendf(nil, "#%05d#%05d", x.operation.index, x.index)
 }
 
-// body is the only right response to x.
+// expectedBody returns the only correct response payload for x.
 func (x *exchange) expectedBody() []byte {
 	return fmt.Appendf(nil, "R%s#%d", x.payload(), x.block)
 }
@@ -121,7 +121,8 @@
 	return x
 }
 
-// datagram encodes the request: Uri-Host, Observe, Uri-Path, Block2, Echo.
+// encodeRequest encodes the request with the options Uri-Host, Observe,
+// Uri-Path, Block2 and Echo, and decodes it.
 func (x *exchange) encodeRequest() *message.Message {
 	code := message.GET
 	if x.operation.kind == post {
@@ -143,7 +144,7 @@
 	return encodeAndDecode(&message.Outgoing{Template: raw, Type: message.Confirmable, ID: x.messageID, Token: m.Token, Echo: x.echo})
 }
 
-// transmit sends the request and repeats it until it is acknowledged.
+// transmit sends the request and retransmits it until it is acknowledged.
 func (x *exchange) transmit() {
 	if x.transmissions == 0 {
 		x.sent = x.sim.now
@@ -160,7 +161,8 @@
 	}
 }
 
-// deliver sends a datagram of the caller to any instance of its data centre.
+// deliver sends a datagram of the caller to a random instance of its data
+// centre.
 func (x *exchange) deliver(m *message.Message) {
 	n := x.sim.pickInstance(x.operation.dataCentre)
 	if n == nil {
@@ -192,8 +194,9 @@
 	})
 }
 
-// spray chooses an instance as the fabric does. It learns of kills and stops
-// late.
+// pickInstance returns a random instance of a data centre, as the network fabric
+// does. The fabric still selects an instance for fabricLag after its kill or
+// planned stop.
 func (sim *simulation) pickInstance(dc ids.DataCentre) *node {
 	var list []*node
 	for _, n := range sim.nodes {
@@ -262,7 +265,9 @@
 	x.operation.handleResponse(x, m)
 }
 
-// proceed does what a caller does after the final response to an exchange.
+// handleResponse does what a caller does after the final response to an
+// exchange: it repeats the request with the Echo token, retries it after a 5.03
+// or requests the next block.
 func (op *operation) handleResponse(x *exchange, m *message.Message) {
 	op.code = m.Code
 	switch {
--- a/internal/proof/cells_test.go
+++ b/internal/proof/cells_test.go
@@ -8,7 +8,7 @@
 	"arbutusdock.example/arbutusdock/internal/message"
 )
 
-// subject is what a fault of the matrix is applied to: the instance and the
+// subject holds what a fault of the matrix is applied to: the instance and the
 // backend server that take part in the step.
 type subject struct {
 	sim    *simulation
@@ -19,9 +19,10 @@
 // fault is a row of the matrix.
 type fault struct {
 	name    string
-	planned bool // no feed may break and no outcome may be unknown
-	// uses tells what must take part in a step for the fault to apply: a
-	// caller's datagram or a backend server; empty for any step.
+	planned bool // the fault must break no feed and leave no outcome unknown
+	// requires is what must take part in a step for the fault to apply:
+	// "datagram" for a caller's datagram, "backend" for a backend server, or
+	// empty if the fault applies to any step.
 	requires string
 	apply    func(s subject)
 }
@@ -50,7 +51,8 @@
 	{name: "backend silent", requires: "backend", apply: func(s subject) { s.server.silent = true }},
 }
 
-// neighbour returns another live instance of the data centre of n.
+// localPeer returns another live instance of the data centre of n, or n if there
+// is none.
 func (sim *simulation) localPeer(n *node) *node {
 	for _, o := range sim.nodes {
 		if o != n && o.dc == n.dc && o.alive && !o.stopped {
@@ -63,11 +65,11 @@
 // step is a column of the matrix.
 type step struct {
 	group, name  string
-	trigger      string // the hook at which the fault is applied
-	kind         kind   // of the request, if one takes part
+	trigger      string // the name passed to onStep at which the fault is applied
+	kind         kind   // of the request, if a request takes part
 	needsRequest bool
 	involvesFeed bool
-	a3Killed     bool // a3 has been killed before
+	a3Killed     bool // a3 has been killed before the step
 	prepare      func(sim *simulation)
 }
 
@@ -126,7 +128,7 @@
 	}},
 	{group: "join", name: "asking peers", trigger: "join asks peers", a3Killed: true, prepare: func(sim *simulation) { sim.join(sim.node("a3")) }},
 	{group: "join", name: "reading platform", trigger: "join reads platform", a3Killed: true, prepare: func(w *simulation) {
-		// No peer answers until the platform is read.
+		// No peer responds until the platform is read.
 		for _, o := range w.nodes {
 			w.cutLinks[[2]string{string(o.id), "a3"}], w.cutLinks[[2]string{"a3", string(o.id)}] = true, true
 		}
@@ -138,7 +140,8 @@
 	sim.after(time.Millisecond, func() { sim.platform.publish("profile/p-counter", profileText(3, 4000), true) })
 }
 
-// holder returns an instance of data centre a that holds a feed.
+// feedHolder returns an instance of data centre a that holds a feed, or a1 if
+// there is none.
 func (sim *simulation) feedHolder() *node {
 	for _, v := range sim.servers {
 		for _, r := range v.feeds {
@@ -153,7 +156,7 @@
 // subjectOf chooses the instance and the backend server for a fault at a step.
 func (sim *simulation) subjectOf(st *step, n *node, x *exchange) subject {
 	s := subject{sim: sim, node: n}
-	if s.node == nil { // a publication: one of the two instances that watch
+	if s.node == nil { // a publication affects one of the two instances that watch the platform
 		for _, o := range sim.nodes {
 			if o.alive && o.dc == "a" && o.core.Snapshot().Watcher {
 				s.node = o
@@ -185,7 +188,7 @@
 	return s
 }
 
-// second returns the subject of the second fault of a pair: another instance
+// secondSubject returns the subject of the second fault of a pair: another instance
 // and another backend server of the same data centre and service.
 func (s subject) secondSubject() subject {
 	other := subject{sim: s.sim, node: s.sim.localPeer(s.node), server: s.server}
@@ -197,7 +200,7 @@
 	return other
 }
 
-// affected are the feeds that the faults of subjects may break.
+// affected returns the feeds that faults of the subjects may break.
 func (sim *simulation) affected(subjects []subject) map[*feed]bool {
 	feeds := map[*feed]bool{}
 	for _, v := range sim.servers {
@@ -212,7 +215,7 @@
 	return feeds
 }
 
-// addMoving adds the feeds of stopping instances to m.
+// addFeedsOfStopping adds the feeds of stopping instances to feeds.
 func (sim *simulation) addFeedsOfStopping(feeds map[*feed]bool) {
 	for _, v := range sim.servers {
 		for _, r := range v.feeds {
@@ -223,7 +226,8 @@
 	}
 }
 
-// unknown reports whether x ended with an unknown outcome.
+// outcomeUnknown reports whether x ended with 5.04: the caller cannot tell
+// whether the request was executed.
 func (x *exchange) outcomeUnknown() bool {
 	return x.feed == nil && x.response != nil && x.response.Code == message.GatewayTimeout
 }
--- a/internal/proof/faults_test.go
+++ b/internal/proof/faults_test.go
@@ -7,7 +7,7 @@
 	"arbutusdock.example/arbutusdock/internal/ids"
 )
 
-// kill ends the process of n at once.
+// kill terminates the process of n without notice.
 func (sim *simulation) kill(n *node) {
 	if !n.alive {
 		return
@@ -43,7 +43,7 @@
 	sim.call(n, func(c *core.Core, out *core.Effects) { c.Stop(n.now(), out) })
 }
 
-// pause stops the process of n and wakes it after d.
+// pause suspends the process of n and resumes it after d.
 func (sim *simulation) pause(n *node, d time.Duration) {
 	if !n.alive || n.paused {
 		return
@@ -69,7 +69,7 @@
 	})
 }
 
-// cutLink cuts the link from a to b, and back unless oneWay.
+// cutLink cuts the link from a to b and, unless oneWay is set, that from b to a.
 func (sim *simulation) cutLink(a, b string, oneWay bool) {
 	sim.recordEvent("cut %s %s, one way %v", a, b, oneWay)
 	sim.cutLinks[[2]string{a, b}] = true
@@ -84,7 +84,8 @@
 	sim.relaxFeedChecks()
 }
 
-// cutCentre cuts a data centre off from the others and from the platform.
+// cutOffDataCentre cuts all links of a data centre to the others and to the
+// platform.
 func (sim *simulation) cutOffDataCentre(dc ids.DataCentre) {
 	for _, n := range sim.nodes {
 		if n.dc != dc {
@@ -110,7 +111,7 @@
 	sim.recordEvent("heal")
 }
 
-// recover restores the backend servers.
+// restoreServers ends all faults and drains of backend servers.
 func (sim *simulation) restoreServers() {
 	for _, v := range sim.servers {
 		v.alive, v.silent, v.shedding, v.swapsMessageIDs, v.resetting, v.health = true, false, false, false, false, accurateHealth
@@ -119,14 +120,14 @@
 	}
 }
 
-// drainDocument publishes the service of v with v draining or not.
+// publishDrain publishes the service of v with v draining or not.
 func (sim *simulation) publishDrain(v *server, on bool) {
 	v.drainPublished = on
 	v.drain(on)
 	sim.platform.publish("service/"+string(v.service), sim.serviceText(v.service), true)
 }
 
-// repeat delivers a request of a caller again, to another instance.
+// redeliver delivers a request of a caller once more, to instance n.
 func (sim *simulation) redeliver(x *exchange, n *node) {
 	if x.feed != nil {
 		return
--- a/internal/proof/matrix_test.go
+++ b/internal/proof/matrix_test.go
@@ -15,14 +15,16 @@
 
 const (
 	faultTime = 20 * time.Second // after which the fault ends
-	// probeTime is the time before the end of a fault of a backend server from
-	// which requests reach other backend servers: a probe request may fail.
+	// probeTime is how long before the end of a fault of a backend server the
+	// requests start that must reach other backend servers. At most
+	// maxFailedRequests of them may fail, as some probe the failed server.
 	probeTime         = 6 * time.Second
 	maxFailedRequests = 3
-	// feedBound is the time in which a feed is back after an unplanned fault
-	// of its instance or backend server: the caller's patience and the next
-	// notification, and for each failed backend server a registration (three
-	// transmissions, a sweep every second) and the time to the next attempt.
+	// feedBound is the time within which a feed is restored after an unplanned
+	// fault of its instance or backend server: feedTimeout plus the time to the
+	// next notification. feedBoundPerServer is added for each failed backend
+	// server: a registration (three transmissions, checked every second) and the
+	// time to the next attempt.
 	feedBound          = feedTimeout + 2*time.Second
 	feedBoundPerServer = 6 * time.Second
 )
@@ -42,7 +44,8 @@
 	return strings.Join(names, " + ") + " at " + c.step.group + " " + c.step.name
 }
 
-// notApplicable returns why a fault does not apply to a step.
+// notApplicable returns the code of the reason why a fault does not apply to a
+// step (see legend), or "" if all apply.
 func (c *cell) notApplicable() string {
 	for _, f := range c.faults {
 		switch {
@@ -80,7 +83,7 @@
 	}
 	sim.advance(3 * time.Second)
 	for _, f := range sim.feeds {
-		f.uninterrupted = true // until an unplanned fault
+		f.uninterrupted = true // until relaxFeedChecks
 	}
 	var subjects []subject
 	var affected map[*feed]bool
@@ -96,8 +99,8 @@
 		}
 		affected = sim.affected(subjects)
 		if c.step.group == "handover" || c.step.name == "moving" {
-			// A feed that is handed over may be registered at a server that
-			// fails now.
+			// A feed that is being handed over may be registered at a backend
+			// server that fails now.
 			for _, f := range c.faults {
 				if f.requires == "backend" && !f.planned {
 					sim.addFeedsOfStopping(affected)
@@ -147,7 +150,8 @@
 	c.evaluate(sim, subjects, affected, planned)
 }
 
-// probe checks that requests reach other backend servers while one has a fault.
+// checkOtherServers checks that requests reach other backend servers while one
+// has a fault.
 func (c *cell) checkOtherServers(sim *simulation, service ids.Service) {
 	var list []*operation
 	for i := range 30 {
@@ -165,7 +169,7 @@
 	}
 }
 
-// judge applies the oracle and the bounds of the matrix.
+// evaluate applies the checks of oracle_test.go and the bounds of the matrix.
 func (c *cell) evaluate(sim *simulation, subjects []subject, affected map[*feed]bool, planned bool) {
 	if subjects == nil {
 		sim.recordViolation("the step was not reached")
@@ -245,11 +249,12 @@
 n/a 3    the instance is stopping already
 `
 
-// Guards against a fault at an exact step of a request, a feed, a handover, a
-// configuration change or a join that random runs seldom meet.
+// Guards against violations of the invariants when a fault hits one exact step of
+// a request, a feed, a handover, a configuration change or a join. Random runs
+// seldom hit such a step.
 func TestFaultMatrix(t *testing.T) {
-	// The whole matrix takes over a minute, so that the ordinary test run has
-	// a part of the columns and of the pairs. `make matrix` runs every cell.
+	// The whole matrix takes over a minute, so the ordinary test run covers only
+	// some of the columns and pairs. `make matrix` runs every cell.
 	path := os.Getenv("PROOF_MATRIX")
 	var rows [][]*cell
 	for i := range faults {
--- a/internal/proof/oracle_test.go
+++ b/internal/proof/oracle_test.go
@@ -11,24 +11,30 @@
 )
 
 const (
-	// answerBound is the greatest deadline of a profile plus the retransmission
-	// time of a caller, 62 s, plus 10 s for the separate response.
+	// responseBound is the time within which a request must get its final
+	// response: the greatest deadline of a profile plus the retransmission time
+	// of a caller, 62 s, plus 10 s for the separate response.
 	responseBound = 4*time.Second + 62*time.Second + 10*time.Second
-	configBound   = 5 * time.Second
-	// platformCalm is longer than the greatest back-off of reads, 30 s.
+	// configBound is the time within which a publication must come into force.
+	configBound = 5 * time.Second
+	// platformRecovery is the time after a platform fault from which publications
+	// are checked. It is longer than the greatest back-off of reads, 30 s.
 	platformRecovery = 40 * time.Second
-	linkRecovery     = 10 * time.Second
-	// settled is the number of samples, every 500 ms, that an instance needs
-	// to count as reachable during all of configBound.
+	// linkRecovery is the same for faults of links between instances.
+	linkRecovery = 10 * time.Second
+	// stableSamples is the number of samples, one every 500 ms, that an instance
+	// needs to count as reachable during all of configBound.
 	stableSamples = 10
-	// feedGap is the greatest gap of an unbroken feed: backend servers notify
-	// every second.
+	// maxFeedGap is the longest allowed time between two notifications of an
+	// unbroken feed. Backend servers send one every second.
 	maxFeedGap = 2500 * time.Millisecond
-	// feedPatience is the silence after which a caller registers again.
+	// feedTimeout is the time without notifications after which a caller
+	// registers again.
 	feedTimeout = 12 * time.Second
 )
 
-// ran records that a backend server executes x.
+// recordExecution records that a backend server executes x and checks that it
+// may.
 func (x *exchange) recordExecution(v *server) {
 	x.executions++
 	x.operation.executions++
@@ -48,14 +54,14 @@
 	}
 }
 
-// log records an event of x. Feeds have too many.
+// logEvent records an event of x. It omits feeds, which have too many events.
 func (x *exchange) logEvent(format string, args ...any) {
 	if x.feed == nil {
 		x.events = append(x.events, fmt.Sprintf("%v ", x.sim.now.Sub(epoch))+fmt.Sprintf(format, args...))
 	}
 }
 
-// trail lists what happened to an operation, for the message of a violation.
+// eventLog returns the events of an operation for the message of a violation.
 func (op *operation) eventLog() string {
 	var b strings.Builder
 	for _, x := range op.sim.exchanges {
@@ -66,7 +72,7 @@
 	return b.String()
 }
 
-// check judges a response that reached the caller of x.
+// checkResponse checks a response that reached the caller of x.
 func (x *exchange) checkResponse(m *message.Message) {
 	sim := x.sim
 	sim.stats.responses[m.Code]++
@@ -84,8 +90,8 @@
 		}
 	case message.ServiceUnavailable:
 		x.reportedNotRun = true
-		// A repeat of an idempotent request may be rejected by an instance
-		// that does not know of the first one.
+		// A retransmission of an idempotent request may be rejected by an
+		// instance that did not handle the first transmission.
 		single := x.transmissions == 1 && !x.repeated
 		if x.executions > 0 && x.feed == nil && (x.operation.kind == post || single) {
 			sim.recordViolation("exchange %d of kind %d ran and got 5.03%s", x.index, x.operation.kind, x.operation.eventLog())
@@ -104,7 +110,8 @@
 	}
 }
 
-// excuse marks the exchanges that an instance held when it was killed or paused.
+// markInterrupted marks the exchanges that an instance had handled when it was
+// killed or paused.
 func (sim *simulation) markInterrupted(n *node) {
 	for _, x := range sim.exchanges {
 		if x.handledBy[n] == n.incarnation {
@@ -113,7 +120,7 @@
 	}
 }
 
-// checkEnds checks that every request got its final response in time.
+// checkFinalResponses checks that every request got its final response in time.
 func (sim *simulation) checkFinalResponses() {
 	for _, x := range sim.exchanges {
 		if x.feed != nil || x.interrupted || x.lost || sim.now.Sub(x.sent) < responseBound {
@@ -125,7 +132,8 @@
 	}
 }
 
-// observe samples the revisions of the instances and checks them.
+// sampleRevisions samples the configuration revisions of the instances and
+// checks them.
 func (sim *simulation) sampleRevisions() {
 	for _, n := range sim.nodes {
 		if !n.alive || n.paused {
@@ -146,8 +154,8 @@
 	sim.checkPublished()
 }
 
-// checkFirst checks that a joining instance does not serve an older
-// configuration than its reachable serving peers had a second ago.
+// checkFirstRevision checks that a joining instance does not begin to serve with
+// an older configuration than its reachable serving peers had a second ago.
 func (sim *simulation) checkFirstRevision(n *node, r ids.Revision) {
 	for _, o := range sim.nodes {
 		if o == n || o.dc != n.dc || sim.linkCut(n, o) || len(o.revisions) < 4 || !o.alive || o.paused {
@@ -165,9 +173,9 @@
 	return sim.cutLinks[[2]string{string(a.id), string(b.id)}] || sim.cutLinks[[2]string{string(b.id), string(a.id)}]
 }
 
-// checkPublished checks that publications are in force in time at all instances
-// that can be reached: those that have run without a pause since, while neither
-// links nor the platform have had a fault.
+// checkPublished checks that publications come into force in time at all
+// reachable instances: those that have run since the publication without a
+// pause. It skips publications around which a link or the platform had a fault.
 func (sim *simulation) checkPublished() {
 	for i := range sim.platform.published {
 		p := &sim.platform.published[i]
@@ -187,13 +195,13 @@
 	}
 }
 
-// feed is an open feed of a caller.
+// feed is the state of an observation (RFC 7641) at its caller.
 type feed struct {
 	exchange         *exchange
 	established      bool
 	observe          uint32
-	lastNotification ids.Time // last notification
-	uninterrupted    bool     // only planned changes have happened since it was opened
+	lastNotification ids.Time
+	uninterrupted    bool // a break or a long gap is a violation, as there were only planned changes
 	breaks           int
 	maxGap           time.Duration
 	ended            bool
@@ -229,7 +237,7 @@
 	f.established, f.observe, f.lastNotification = true, m.Observe, x.sim.now
 }
 
-// again registers a feed again with the same token.
+// reregister registers a feed again with the same token.
 func (f *feed) reregister() {
 	if f.established || f.ended {
 		return
@@ -240,7 +248,8 @@
 	x.transmit()
 }
 
-// refreshFeeds registers the feeds again that have been silent.
+// reregisterSilentFeeds registers feeds again that have had no notification for
+// feedTimeout.
 func (sim *simulation) reregisterSilentFeeds() {
 	for _, f := range sim.feeds {
 		if f.established && sim.now.Sub(f.lastNotification) > feedTimeout {
@@ -254,7 +263,7 @@
 	}
 }
 
-// loosen stops the check of feeds for gaps, after an unplanned fault.
+// relaxFeedChecks allows breaks and gaps of all feeds, after an unplanned fault.
 func (sim *simulation) relaxFeedChecks() {
 	for _, f := range sim.feeds {
 		f.uninterrupted = false
--- a/internal/proof/platform_test.go
+++ b/internal/proof/platform_test.go
@@ -15,8 +15,8 @@
 
 const (
 	listCurrent  listMode = iota
-	listUnpruned          // the first list, for ever
-	listWrong             // live instances as leaving or missing, dead ones as live
+	listUnpruned          // dead instances are never removed
+	listWrong             // live instances are leaving or missing, dead ones are not leaving
 )
 
 const (
@@ -24,10 +24,11 @@
 	watchWait = 30 * time.Second
 )
 
-// platform is the fake configuration service. Documents have a global revision.
+// platform is the fake configuration service. Its revision counts publications
+// over all documents.
 type platform struct {
 	sim       *simulation
-	documents []core.Publication // in order of revision, all publications
+	documents []core.Publication // all publications, in order of revision
 	down      bool
 	staleAt   ids.Revision // serves the state of this revision; 0: current
 	published []publication
@@ -56,7 +57,7 @@
 	return ids.Revision(len(p.documents))
 }
 
-// publish adds a document; good tells whether instances should accept it.
+// publish adds a document; valid tells whether instances should accept it.
 func (p *platform) publish(key, value string, valid bool) ids.Revision {
 	r := ids.Revision(len(p.documents) + 1)
 	p.documents = append(p.documents, core.Publication{Key: key, Revision: r, Value: []byte(value)})
@@ -131,7 +132,7 @@
 	p.sim.call(r.node, func(c *core.Core, out *core.Effects) { c.HandleConfig(r.node.now(), e, out) })
 }
 
-// services are the services of the model.
+// services lists the services of the simulation.
 var services = []ids.Service{"counter", "alarm"}
 
 func profileText(weight, deadline int) string {
@@ -140,7 +141,7 @@
 		deadline, weight)
 }
 
-// serviceText is the document of a service with the current drains.
+// serviceText returns the document of a service with the published drains.
 func (sim *simulation) serviceText(s ids.Service) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "port = 5683\nprofile = \"p-%s\"\n", s)
@@ -160,7 +161,7 @@
 	}
 }
 
-// sendLists sends each instance the platform's list.
+// sendLists sends each instance the platform's list of instances.
 func (sim *simulation) sendLists() {
 	if sim.platform.down {
 		return
--- a/internal/proof/random_test.go
+++ b/internal/proof/random_test.go
@@ -18,7 +18,7 @@
 	_ = flag.Set("rapid.nofailfile", "true")
 }
 
-// model is the state of a random run.
+// model adds the random steps of rapid to a simulation.
 type model struct {
 	*simulation
 }
@@ -48,7 +48,8 @@
 	}
 }
 
-// background sends a request, so that faults meet requests in every step.
+// sendBackgroundRequest sends a request. A steady load of requests lets faults
+// hit them at every stage.
 func (m *model) sendBackgroundRequest() {
 	if len(m.operations) < 1000 {
 		i := len(m.operations)
@@ -79,7 +80,7 @@
 	totals.add(m.simulation)
 }
 
-// total sums up the runs of this process.
+// totals sums the counts of all runs of this process.
 var totals stats
 
 func (s *stats) add(sim *simulation) {
@@ -96,7 +97,7 @@
 
 // Guards against a violation of the invariants of docs/design.md section 1.2
 // under random faults of instances, links, the platform, datagrams and backend
-// servers, at random moments.
+// servers at random times.
 func TestInvariantsUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m := &model{simulation: newSimulation(rapid.Uint64().Draw(rt, "seed"), 3)}
@@ -194,8 +195,8 @@
 	t.Logf("checked: %+v", totals)
 }
 
-// Guards against a feed that a planned change interrupts, and against one that
-// stays registered twice.
+// Guards against a planned change that interrupts a feed, and against a feed that
+// stays registered at two backend servers.
 func TestFeedsUnderPlannedChange(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m := &model{simulation: newSimulation(rapid.Uint64().Draw(rt, "seed"), 3)}
@@ -237,7 +238,7 @@
 					}
 				}
 				if alternatives == 0 {
-					return // nothing to move to
+					return // the feeds have no other backend server to move to
 				}
 				m.publishDrain(v, !v.draining)
 			},
--- a/internal/proof/server_test.go
+++ b/internal/proof/server_test.go
@@ -23,7 +23,7 @@
 
 const (
 	targetsPerDataCentre = 3
-	// drainBound is the time after which a draining backend server gets no
+	// drainBound is the time after which a draining backend server must get no
 	// new work.
 	drainBound = 3 * time.Second
 	healthWait = 500 * time.Millisecond // time-out of a health check
@@ -42,9 +42,9 @@
 	drainSince      ids.Time
 	health          healthMode
 	shedding        bool
-	silent          bool // runs requests, responds to none
-	resetting       bool // runs requests and answers with RST
-	swapsMessageIDs bool // swaps message ids and repeats old responses
+	silent          bool // executes requests but responds to none
+	resetting       bool // executes requests and responds with RST
+	swapsMessageIDs bool // swaps message IDs and repeats old responses
 	runTime         time.Duration
 	jobs            map[jobKey]*job
 	feeds           []*registration
@@ -68,7 +68,7 @@
 	confirmed  bool // the separate response was acknowledged
 }
 
-// registration is a feed at a backend server.
+// registration is the registration of a feed at a backend server.
 type registration struct {
 	node          *node
 	token         message.Token
@@ -137,7 +137,7 @@
 	if m.HasObserve && m.Observe == 1 {
 		v.feeds = slices.DeleteFunc(v.feeds, func(r *registration) bool { return r.node == n && r.token == m.Token })
 		if m.Type == message.NonConfirmable {
-			return // the response is of no interest
+			return // the caller does not need the response
 		}
 	}
 	key := jobKey{n.id, m.ID}
@@ -156,7 +156,8 @@
 	v.process(n, j)
 }
 
-// newWork checks that a draining backend server gets none.
+// checkNewWork checks that a draining backend server gets no new work after
+// drainBound.
 func (v *server) checkNewWork(n *node, j *job) {
 	if v.draining {
 		v.sim.stats.sentWhileDraining++
@@ -232,7 +233,7 @@
 	v.send(n, j, o)
 }
 
-// sortedJobs yields the jobs without a response in the order of message ids.
+// sortedJobs yields the jobs in the order of their message IDs.
 func (v *server) sortedJobs() func(func(uint16, *job) bool) {
 	return func(yield func(uint16, *job) bool) {
 		keys := make([]uint16, 0, len(v.jobs))
@@ -264,7 +265,7 @@
 	})
 }
 
-// empty handles an ACK or RST.
+// handleEmpty handles an ACK or RST.
 func (v *server) handleEmpty(n *node, m *message.Message) {
 	if j := v.jobs[jobKey{n.id, m.ID}]; j != nil && m.Type == message.Reset {
 		j.cancelled = true
@@ -302,7 +303,7 @@
 	return uint32(v.sim.now/ids.Time(time.Millisecond)) & 0xffffff
 }
 
-// pushFeeds sends a notification for each registration.
+// sendNotifications sends a notification for each registration.
 func (sim *simulation) sendNotifications() {
 	for _, v := range sim.servers {
 		if !v.alive || v.silent {
@@ -322,8 +323,9 @@
 	}
 }
 
-// kill ends the process of v. The message ids that it has seen are kept, as a
-// datagram that the network doubles around a restart is no fault of the system.
+// kill ends the process of v. The message IDs that it has seen are kept, because
+// the system is not at fault for a datagram that the network duplicates around a
+// restart.
 func (v *server) kill() {
 	v.alive, v.feeds = false, nil
 	for _, j := range v.jobs {
--- a/internal/proof/share_test.go
+++ b/internal/proof/share_test.go
@@ -8,9 +8,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// split offers four times the capacity of the counter service in data centre a
-// for d, a fifth of it from p0, and returns the part of the runs that p0 got
-// after the first half of d.
+// measureShare offers four times the capacity of the counter service in data
+// centre a for d, a fifth of it from partner p0, and returns the share of p0 in
+// the requests executed in the second half of d.
 func (sim *simulation) measureShare(d time.Duration) float64 {
 	end := sim.now.Add(d)
 	n := 0
@@ -23,7 +23,7 @@
 		if n%5 == 0 {
 			sim.nextHost = "p0"
 		}
-		sim.newOperation(get, "counter", "a").retries = 1 // no return after a rejection
+		sim.newOperation(get, "counter", "a").retries = 1 // the caller does not retry after a rejection
 		n++
 		sim.after(time.Second/1200, send)
 	}
@@ -48,8 +48,9 @@
 	return runs
 }
 
-// Guards against shares of capacity that do not follow the profile in force:
-// 1:1 at first and 3:1 two seconds after the change, within 5% of the capacity.
+// Guards against capacity shares of the partners that do not follow the weights
+// of the profile in force: 1:1 at first and 3:1 from two seconds after the change,
+// within 5% of the capacity.
 func TestSharesFollowProfile(t *testing.T) {
 	sim := newSimulation(1, 3)
 	equal := sim.measureShare(4 * time.Second)
--- a/internal/proof/world_test.go
+++ b/internal/proof/world_test.go
@@ -19,18 +19,18 @@
 	epoch        = 1_700_000_000 * second
 	tickInterval = 10 * time.Millisecond
 	lingerTime   = 3 * time.Second
-	// fabricLag is the time for which the fabric still sends datagrams to an
-	// instance that has been killed or told to stop.
+	// fabricLag is the time for which the network fabric still sends datagrams to
+	// an instance that has been killed or told to stop.
 	fabricLag = 2 * time.Second
-	// inboxLimit bounds the datagrams and messages that wait for a paused
-	// process in its socket buffers.
+	// inboxLimit is the number of datagrams and messages that the socket buffers
+	// of a paused process hold.
 	inboxLimit = 64
 	platformID = "platform"
 )
 
 var dataCentres = []ids.DataCentre{"a", "b"}
 
-// node is one instance of the system: its current process and its network.
+// node is one instance of the system and the state of its current process.
 type node struct {
 	sim         *simulation
 	id          ids.Instance
@@ -41,8 +41,8 @@
 	alive       bool
 	paused      bool
 	inbox       []func()
-	skew        time.Duration // of the clock of n
-	leftAt      ids.Time      // planned stop or kill; 0 while the fabric may send
+	skew        time.Duration // of its clock
+	leftAt      ids.Time      // time of the planned stop, kill or exit; 0 while it runs
 	stopped     bool          // a planned stop has begun
 	startedAt   ids.Time
 	watch       *read // pending read of the platform
@@ -54,7 +54,7 @@
 // now returns the time on the clock of n.
 func (n *node) now() ids.Time { return n.sim.now.Add(n.skew) }
 
-// fate is what the network does to a datagram.
+// datagramFate is what the network does to a datagram.
 type datagramFate uint8
 
 const (
@@ -72,15 +72,17 @@
 
 func (n *node) addr() string { return fmt.Sprintf("127.0.0.1:%d", 9000+n.index) }
 
-// stats counts what happened, to show that a run exercised the system.
+// stats counts the events and checks of a run, to show that it exercised the
+// system.
 type stats struct {
 	responses         map[message.Code]int
-	published         int // publications checked for their time
-	firstRevisions    int // first revisions checked
-	sentWhileDraining int // requests that draining backend servers got in time
+	published         int // publications whose time to come into force was checked
+	firstRevisions    int // comparisons in checkFirstRevision
+	sentWhileDraining int // requests sent to draining backend servers
 }
 
-// world joins the instances, backend servers, callers and the platform.
+// simulation connects the instances, backend servers, callers and the platform
+// and has the virtual clock.
 type simulation struct {
 	now             ids.Time
 	queue           eventqueue.Queue
@@ -90,20 +92,22 @@
 	lastIncarnation ids.Incarnation
 	servers         []*server
 	platform        platform
-	cutLinks        map[[2]string]bool // directed, from and to
-	// Datagrams in percent that are lost, doubled or late, in any hop.
+	cutLinks        map[[2]string]bool // keys are {from, to}
+	// Percentages of datagrams that are lost, duplicated or delayed on any hop.
 	lossPercent, duplicatePercent, delayPercent int
 	nextFate                                    datagramFate // of the next datagram
 	exchanges                                   []*exchange
 	operations                                  []*operation
 	feeds                                       []*feed
-	nextHost                                    string // Uri-Host of new operations; empty: by turns
-	// step is called at each step of a request, feed or handover.
+	nextHost                                    string // Uri-Host of new operations; empty: p0 and p1 in turn
+	// onStep is called at each step of a request, feed, handover, publication or
+	// join.
 	onStep     func(name string, n *node, x *exchange)
 	violations []string
 	history    []string
 	listMode   listMode
-	// Times of the last change of a fault; 0 before the first.
+	// Times when a fault of a link or the platform last began or ended; 0 before
+	// the first.
 	linkFault, platformFault ids.Time
 	stats                    stats
 }
@@ -121,7 +125,7 @@
 	for i := range len(dataCentres) * perCentre {
 		n := &node{sim: sim, dc: dataCentres[i/perCentre], index: i}
 		n.id = ids.Instance(fmt.Sprintf("%s%d", n.dc, i%perCentre+1))
-		if i%perCentre == 1 { // one clock in each data centre is wrong
+		if i%perCentre == 1 { // one clock in each data centre is wrong by up to two minutes
 			n.skew = time.Duration(sim.rng.IntN(240)-120) * time.Second
 		}
 		sim.nodes = append(sim.nodes, n)
@@ -201,8 +205,8 @@
 	}
 }
 
-// call calls the core of n and carries out the effects. A paused process gets
-// what arrives when it wakes.
+// call calls the core of n and carries out the effects. Calls to a paused process
+// wait in its inbox until it resumes.
 func (sim *simulation) call(n *node, f func(*core.Core, *core.Effects)) {
 	if !n.alive {
 		return
@@ -252,7 +256,8 @@
 	}
 }
 
-// decode encodes a message and decodes it again, as on the wire.
+// encodeAndDecode encodes a message and decodes it again, as when it is sent over
+// the network.
 func encodeAndDecode(o *message.Outgoing) *message.Message {
 	raw, err := message.Encode(nil, o)
 	if err != nil {
@@ -269,7 +274,7 @@
 	return m
 }
 
-// toPeer delivers a message over the link from n to another instance. Links
+// sendToPeer delivers a message over the link from n to another instance. Links
 // keep the order of messages.
 func (sim *simulation) sendToPeer(n *node, to ids.Instance, m *peerwire.Message) {
 	raw, err := peerwire.Encode(nil, m)
@@ -338,7 +343,7 @@
 	return nil
 }
 
-// state returns the lifecycle of the process.
+// lifecycle returns the lifecycle state of the process, or "dead".
 func (n *node) lifecycle() string {
 	if !n.alive {
 		return "dead"
@@ -346,7 +351,7 @@
 	return n.core.Snapshot().Lifecycle
 }
 
-// datagram delivers a datagram with the faults of the network; x is the
+// deliverDatagram delivers a datagram with the faults of the network; x is the
 // exchange that it belongs to, if any.
 func (sim *simulation) deliverDatagram(x *exchange, deliver func()) {
 	d := time.Millisecond
