--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -11,39 +11,39 @@
 )
 
 // attempt is what a caller knows of a flow that it opens.
-type attempt struct {
-	dc    string
-	via   *instance
-	began time.Time
+type flowAttempt struct {
+	dc        string
+	instance  *instance
+	startedAt time.Time
 }
 
 // open opens a flow and judges the outcome.
-func (s *soak) open(dc string, c *platformtest.Caller, sv service) (*platformtest.Flow, attempt, error) {
-	before := s.undisturbed()
-	a := attempt{dc: dc, began: time.Now()}
-	flow, err := c.Open(sv.at)
+func (s *soak) open(dc string, c *platformtest.Caller, svc service) (*platformtest.Flow, flowAttempt, error) {
+	undisturbedBefore := s.allUndisturbed()
+	a := flowAttempt{dc: dc, startedAt: time.Now()}
+	flow, err := c.Open(svc.address)
 	if err != nil {
-		if before && s.undisturbed() {
-			s.violation("opening a flow to %s from %s failed while nothing was disturbed: %v", sv.name, dc, err)
+		if undisturbedBefore && s.allUndisturbed() {
+			s.violation("opening a flow to %s from %s failed while nothing was disturbed: %v", svc.name, dc, err)
 		}
 		return nil, a, err
 	}
-	a.via = s.chosen(dc, flow.LocalAddr(), sv.at)
+	a.instance = s.selectInstance(dc, flow.LocalAddr(), svc.address)
 	return flow, a, nil
 }
 
 // undisturbed reports whether every instance and every server in use has been
 // left alone for long enough. Planned work is no disturbance.
-func (s *soak) undisturbed() bool {
+func (s *soak) allUndisturbed() bool {
 	for _, i := range s.instances {
-		if !s.calm(i) {
+		if !s.undisturbed(i) {
 			return false
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, sv := range s.servers {
-		if sv.drained.IsZero() && time.Since(sv.disturbed) < contact && !sv.forgotten() {
+		if sv.drainedAt.IsZero() && time.Since(sv.disturbedUntil) < recoveryTime && !sv.outOfStore() {
 			return false
 		}
 	}
@@ -51,54 +51,56 @@
 }
 
 // forgotten reports whether a crashed server left the store long enough ago.
-func (sv *server) forgotten() bool { return !sv.removed.IsZero() && time.Since(sv.removed) > contact }
+func (sv *server) outOfStore() bool {
+	return !sv.removedAt.IsZero() && time.Since(sv.removedAt) > recoveryTime
+}
 
 // request runs a request and judges the answer. It returns the server's ID.
-func (s *soak) request(flow *platformtest.Flow, a attempt, sv service, fresh bool) (string, error) {
+func (s *soak) request(flow *platformtest.Flow, a flowAttempt, svc service, newFlow bool) (string, error) {
 	text := fmt.Sprintf("%s-%d-%d", a.dc, time.Now().UnixNano(), rand.Uint32())
-	before := s.undisturbed()
-	answer, err := flow.Request([]byte(text), s.budget)
+	undisturbedBefore := s.allUndisturbed()
+	response, err := flow.Request([]byte(text), s.requestTimeout)
 	if err != nil {
-		s.countBroken(err)
+		s.countFailedRequest(err)
 		// Which server it was is not known; a reset is judged as if it were one
 		// that nothing had disturbed.
-		if before && s.undisturbed() && !s.anyLeaving() {
-			s.violation("a request on an open flow to %s failed while nothing was disturbed: %v", sv.name, err)
+		if undisturbedBefore && s.allUndisturbed() && !s.anyDraining() {
+			s.violation("a request on an open flow to %s failed while nothing was disturbed: %v", svc.name, err)
 		}
 		return "", err
 	}
-	words := strings.Fields(string(answer))
-	if len(words) != 3 || words[0] != sv.name || words[2] != text {
-		s.violation("%v: %q instead of %q of %s", errWrongAnswer, answer, text, sv.name)
-		return "", errWrongAnswer
+	fields := strings.Fields(string(response))
+	if len(fields) != 3 || fields[0] != svc.name || fields[2] != text {
+		s.violation("%v: %q instead of %q of %s", errWrongResponse, response, text, svc.name)
+		return "", errWrongResponse
 	}
 	s.mu.Lock()
-	s.served[sv.name]++
-	drained := s.servers[words[1]].drained
+	s.servedCount[svc.name]++
+	drained := s.servers[fields[1]].drainedAt
 	s.mu.Unlock()
-	if fresh && !drained.IsZero() && a.began.Sub(drained) > applyWithin && s.calm(a.via) {
-		s.violation("a flow was opened to %s %s after it began to leave, through %s", words[1], a.began.Sub(drained), a.via.id)
+	if newFlow && !drained.IsZero() && a.startedAt.Sub(drained) > applyWithin && s.undisturbed(a.instance) {
+		s.violation("a flow was opened to %s %s after it began to leave, through %s", fields[1], a.startedAt.Sub(drained), a.instance.id)
 	}
-	return words[1], nil
+	return fields[1], nil
 }
 
 // countBroken counts a request that failed on an open flow.
-func (s *soak) countBroken(err error) {
+func (s *soak) countFailedRequest(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if errors.Is(err, platformtest.ErrReset) {
-		s.resets++
+		s.resetCount++
 	} else {
-		s.silent++
+		s.timeoutCount++
 	}
 }
 
 // anyLeaving reports whether a server that leaves may end flows.
-func (s *soak) anyLeaving() bool {
+func (s *soak) anyDraining() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, sv := range s.servers {
-		if !sv.drained.IsZero() && time.Since(sv.drained) < 2*(drainTime+applyWithin) {
+		if !sv.drainedAt.IsZero() && time.Since(sv.drainedAt) < 2*(drainServeTime+applyWithin) {
 			return true
 		}
 	}
@@ -106,19 +108,19 @@
 }
 
 // longCaller keeps a flow open for many requests.
-func (s *soak) longCaller(dc string, c *platformtest.Caller, sv service) {
-	for time.Now().Before(s.end) {
-		flow, a, err := s.open(dc, c, sv)
+func (s *soak) runLongFlows(dc string, c *platformtest.Caller, svc service) {
+	for time.Now().Before(s.loadEnd) {
+		flow, a, err := s.open(dc, c, svc)
 		if err != nil {
 			time.Sleep(20 * time.Millisecond)
 			continue
 		}
-		server, err := s.request(flow, a, sv, true)
-		for err == nil && !flow.ClosedByTarget() && time.Now().Before(s.end) {
+		server, err := s.request(flow, a, svc, true)
+		for err == nil && !flow.ClosedByTarget() && time.Now().Before(s.loadEnd) {
 			time.Sleep(time.Duration(20+rand.IntN(200)) * time.Millisecond)
-			var again string
-			if again, err = s.request(flow, a, sv, false); err == nil && again != server {
-				s.violation("a flow to %s moved from %s to %s", sv.name, server, again)
+			var serverNow string
+			if serverNow, err = s.request(flow, a, svc, false); err == nil && serverNow != server {
+				s.violation("a flow to %s moved from %s to %s", svc.name, server, serverNow)
 			}
 		}
 		if err == nil {
@@ -128,10 +130,10 @@
 }
 
 // shortCaller opens a flow for each request.
-func (s *soak) shortCaller(dc string, c *platformtest.Caller, sv service) {
-	for time.Now().Before(s.end) {
-		if flow, a, err := s.open(dc, c, sv); err == nil {
-			if _, err := s.request(flow, a, sv, true); err == nil {
+func (s *soak) runShortFlows(dc string, c *platformtest.Caller, svc service) {
+	for time.Now().Before(s.loadEnd) {
+		if flow, a, err := s.open(dc, c, svc); err == nil {
+			if _, err := s.request(flow, a, svc, true); err == nil {
 				flow.Close()
 			}
 		}
@@ -141,11 +143,11 @@
 
 // versionCaller opens flows to routes that a single version has, and concludes
 // which version an instance has in force.
-func (s *soak) versionCaller(dc string, c *platformtest.Caller) {
-	for time.Now().Before(s.end) {
+func (s *soak) runVersionProbes(dc string, c *platformtest.Caller) {
+	for time.Now().Before(s.loadEnd) {
 		time.Sleep(time.Duration(50+rand.IntN(200)) * time.Millisecond)
 		s.mu.Lock()
-		latest := s.version
+		latest := s.latestVersion
 		version := max(latest-rand.IntN(3), 1)
 		s.mu.Unlock()
 		s.probeVersion(dc, c, version)
@@ -154,40 +156,40 @@
 
 // probeVersion opens a flow to the route that only one version has.
 func (s *soak) probeVersion(dc string, c *platformtest.Caller, version int) {
-	began := time.Now()
-	at := versionAddress(version)
+	startedAt := time.Now()
+	at := versionRouteAddress(version)
 	flow, err := c.Open(at)
-	var via *instance
+	var inst *instance
 	if err == nil {
-		via = s.chosen(dc, flow.LocalAddr(), at)
+		inst = s.selectInstance(dc, flow.LocalAddr(), at)
 		defer flow.Close()
 	}
 	s.mu.Lock()
-	next, superseded := s.acknowledged[version+1]
-	acknowledged := s.acknowledged[version]
-	current := s.version == version
+	supersededAt, superseded := s.acknowledgedAt[version+1]
+	acknowledged := s.acknowledgedAt[version]
+	current := s.latestVersion == version
 	s.mu.Unlock()
 	switch {
 	case err == nil:
-		s.proveVersion(via, version, began)
-		if superseded && began.Sub(next) > applyWithin && s.calm(via) {
-			s.violation("%s has version %d in force %s after version %d", via.id, version, began.Sub(next), version+1)
+		s.recordVersion(inst, version, startedAt)
+		if superseded && startedAt.Sub(supersededAt) > applyWithin && s.undisturbed(inst) {
+			s.violation("%s has version %d in force %s after version %d", inst.id, version, startedAt.Sub(supersededAt), version+1)
 		}
-	case errors.Is(err, platformtest.ErrReset) && current && !acknowledged.IsZero() && began.Sub(acknowledged) > applyWithin && s.undisturbed():
-		s.violation("a route of version %d was refused %s after its acknowledgement", version, began.Sub(acknowledged))
+	case errors.Is(err, platformtest.ErrReset) && current && !acknowledged.IsZero() && startedAt.Sub(acknowledged) > applyWithin && s.allUndisturbed():
+		s.violation("a route of version %d was refused %s after its acknowledgement", version, startedAt.Sub(acknowledged))
 	}
 }
 
 // proveVersion records that an instance has a version in force, which it must
 // never leave for an older one.
-func (s *soak) proveVersion(via *instance, version int, began time.Time) {
-	const slack = 250 * time.Millisecond
+func (s *soak) recordVersion(inst *instance, version int, startedAt time.Time) {
+	const tolerance = 250 * time.Millisecond
 	s.fleet.mu.Lock()
 	defer s.fleet.mu.Unlock()
-	if version < via.proven && began.Sub(via.provenAt) > slack && via.run == via.running {
-		s.violation("%s went back from version %d to %d", via.id, via.proven, version)
+	if version < inst.observedVersion && startedAt.Sub(inst.observedAt) > tolerance && inst.observedStart == inst.starts {
+		s.violation("%s went back from version %d to %d", inst.id, inst.observedVersion, version)
 	}
-	if version > via.proven || via.run != via.running {
-		via.proven, via.provenAt, via.run = version, time.Now(), via.running
+	if version > inst.observedVersion || inst.observedStart != inst.starts {
+		inst.observedVersion, inst.observedAt, inst.observedStart = version, time.Now(), inst.starts
 	}
 }
--- a/soak/fleet_test.go
+++ b/soak/fleet_test.go
@@ -23,11 +23,11 @@
 
 // Bounds that the deployment states to its instances, and that the checks use.
 const (
-	applyWithin = 3 * time.Second // for a change to be in force
-	contact     = 4 * time.Second // after a disturbance until bounds hold again
-	grace       = 6 * time.Second // for a planned stop
-	probeEvery  = 500 * time.Millisecond
-	probeMisses = 2
+	applyWithin     = 3 * time.Second // for a change to be in force
+	recoveryTime    = 4 * time.Second // after a disturbance until bounds hold again
+	stopTimeout     = 6 * time.Second // for a planned stop
+	probeInterval   = 500 * time.Millisecond
+	maxFailedProbes = 2
 )
 
 // Ports, the same on every address of the run's network.
@@ -65,7 +65,7 @@
 // mutex of the fleet.
 type instance struct {
 	id, dc   string
-	ip       netip.Addr
+	addr     netip.Addr
 	settings string
 	log      *os.File
 	store    *proxy // between the instance and the store
@@ -73,41 +73,41 @@
 
 	// life is held while a fault decides about the process, so that no two start
 	// it again.
-	life sync.Mutex
+	lifecycleMu sync.Mutex
 
-	cmd       *exec.Cmd
-	ended     chan struct{} // closed when the process has ended
-	running   int           // number of starts
-	misses    int
-	inUse     bool      // in rotation
-	down      bool      // killed or paused
-	disturbed time.Time // end of the last disturbance
-	proven    int       // version whose effect a caller has seen
-	provenAt  time.Time
-	run       int // start in which it was seen
+	cmd             *exec.Cmd
+	ended           chan struct{} // closed when the process has ended
+	starts          int           // number of starts
+	failedProbes    int
+	inRotation      bool      // in rotation
+	down            bool      // killed or paused
+	disturbedUntil  time.Time // end of the last disturbance
+	observedVersion int       // version whose effect a caller has seen
+	observedAt      time.Time
+	observedStart   int // start in which it was seen
 }
 
 // fleet is a deployment with two data centres.
 type fleet struct {
-	t      *testing.T
-	dir    string
-	net    int // second byte of the addresses
-	store  *platformtest.Store
-	cancel context.CancelFunc
-	tasks  sync.WaitGroup
+	t           *testing.T
+	dir         string
+	networkByte int // second byte of the addresses
+	store       *platformtest.Store
+	cancel      context.CancelFunc
+	probes      sync.WaitGroup
 
 	mu        sync.Mutex
 	instances []*instance
-	loss      float64
-	rng       *rand.Rand // of losses
+	lossRate  float64
+	lossRNG   *rand.Rand // of losses
 }
 
 func (f *fleet) addr(host, n int) netip.Addr {
-	return netip.AddrFrom4([4]byte{127, byte(f.net), byte(host), byte(n)})
+	return netip.AddrFrom4([4]byte{127, byte(f.networkByte), byte(host), byte(n)})
 }
 
 // network takes a loopback network that no other run on this machine uses.
-func network(t *testing.T) int {
+func reserveNetwork(t *testing.T) int {
 	for n := 10; n < 100; n++ {
 		lock := filepath.Join(os.TempDir(), fmt.Sprintf("arbutusdock-soak-net-%d", n))
 		if os.Mkdir(lock, 0o700) == nil {
@@ -123,12 +123,12 @@
 func newFleet(t *testing.T, seed uint64, n int) *fleet {
 	dir, err := os.MkdirTemp("", fmt.Sprintf("soak-%d.", seed))
 	assert.NilError(t, err)
-	f := &fleet{t: t, dir: dir, net: network(t), store: platformtest.NewStore(), rng: rand.New(rand.NewPCG(seed, 7))}
+	f := &fleet{t: t, dir: dir, networkByte: reserveNetwork(t), store: platformtest.NewStore(), lossRNG: rand.New(rand.NewPCG(seed, 7))}
 	ctx, cancel := context.WithCancel(context.Background())
 	f.cancel = cancel
 	t.Cleanup(func() {
 		cancel()
-		f.tasks.Wait()
+		f.probes.Wait()
 		f.killAll()
 		f.store.Close()
 		if t.Failed() {
@@ -142,17 +142,17 @@
 	}
 	for _, i := range f.instances {
 		f.start(i)
-		f.tasks.Go(func() { f.probe(ctx, i) })
+		f.probes.Go(func() { f.probe(ctx, i) })
 	}
 	return f
 }
 
 func (f *fleet) newInstance(n int, dc string) *instance {
-	i := &instance{id: fmt.Sprintf("%s-%d", dc, n), dc: dc, ip: f.addr(1, n+1)}
+	i := &instance{id: fmt.Sprintf("%s-%d", dc, n), dc: dc, addr: f.addr(1, n+1)}
 	var err error
 	i.store, err = newProxy(netip.AddrPortFrom(f.addr(3, n+1), proxyPort).String(), f.store.Address())
 	assert.NilError(f.t, err)
-	i.control, err = newProxy(netip.AddrPortFrom(f.addr(4, n+1), proxyPort).String(), netip.AddrPortFrom(i.ip, controlPort).String())
+	i.control, err = newProxy(netip.AddrPortFrom(f.addr(4, n+1), proxyPort).String(), netip.AddrPortFrom(i.addr, controlPort).String())
 	assert.NilError(f.t, err)
 	f.t.Cleanup(func() { i.store.close(); i.control.close() })
 	i.settings = filepath.Join(f.dir, i.id+".toml")
@@ -171,8 +171,8 @@
 grace = %q
 [log]
 level = "debug"
-`, i.id, dc, i.ip, datagramPort, i.ip, readyPort, i.ip, controlPort, i.control.address(), i.ip, metricsPort, i.store.address(),
-		netip.AddrPortFrom(f.addr(4, 1), proxyPort), netip.AddrPortFrom(f.addr(4, 2), proxyPort), applyWithin, grace)
+`, i.id, dc, i.addr, datagramPort, i.addr, readyPort, i.addr, controlPort, i.control.address(), i.addr, metricsPort, i.store.address(),
+		netip.AddrPortFrom(f.addr(4, 1), proxyPort), netip.AddrPortFrom(f.addr(4, 2), proxyPort), applyWithin, stopTimeout)
 	assert.NilError(f.t, os.WriteFile(i.settings, []byte(text), 0o600))
 	i.log, err = os.Create(filepath.Join(f.dir, i.id+".log"))
 	assert.NilError(f.t, err)
@@ -189,7 +189,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	i.cmd, i.ended = cmd, ended
-	i.running++
+	i.starts++
 }
 
 func (f *fleet) killAll() {
@@ -213,8 +213,8 @@
 func (f *fleet) disturb(i *instance, d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if end := time.Now().Add(d); end.After(i.disturbed) {
-		i.disturbed = end
+	if end := time.Now().Add(d); end.After(i.disturbedUntil) {
+		i.disturbedUntil = end
 	}
 }
 
@@ -223,22 +223,22 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	i.down = down
-	if now := time.Now(); !down && now.After(i.disturbed) {
-		i.disturbed = now
+	if now := time.Now(); !down && now.After(i.disturbedUntil) {
+		i.disturbedUntil = now
 	}
 }
 
 // calm reports whether an instance has been undisturbed for long enough.
-func (f *fleet) calm(i *instance) bool {
+func (f *fleet) undisturbed(i *instance) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !i.down && time.Since(i.disturbed) > contact
+	return !i.down && time.Since(i.disturbedUntil) > recoveryTime
 }
 
 // probe asks for the readiness of an instance as the fabric does.
 func (f *fleet) probe(ctx context.Context, i *instance) {
-	client := &http.Client{Timeout: probeEvery - 50*time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
-	url := fmt.Sprintf("http://%s:%d/ready", i.ip, readyPort)
+	client := &http.Client{Timeout: probeInterval - 50*time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
+	url := fmt.Sprintf("http://%s:%d/ready", i.addr, readyPort)
 	for {
 		response, err := client.Get(url)
 		ready := err == nil && response.StatusCode == http.StatusOK
@@ -247,45 +247,45 @@
 		}
 		f.mu.Lock()
 		if ready {
-			i.misses, i.inUse = 0, true
-		} else if i.misses++; i.misses >= probeMisses {
-			i.inUse = false
+			i.failedProbes, i.inRotation = 0, true
+		} else if i.failedProbes++; i.failedProbes >= maxFailedProbes {
+			i.inRotation = false
 		}
 		f.mu.Unlock()
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(probeEvery):
+		case <-time.After(probeInterval):
 		}
 	}
 }
 
 // chosen returns the instance to which the fabric sends the packets of a flow
 // of a caller in a data centre.
-func (f *fleet) chosen(dc string, src, dst netip.AddrPort) *instance {
+func (f *fleet) selectInstance(dc string, src, dst netip.AddrPort) *instance {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var all, local, used []*instance
+	var all, inDataCentre, selectable []*instance
 	for _, i := range f.instances {
-		if i.inUse {
+		if i.inRotation {
 			all = append(all, i)
 		}
 		if i.dc == dc {
-			local = append(local, i)
-			if i.inUse {
-				used = append(used, i)
+			inDataCentre = append(inDataCentre, i)
+			if i.inRotation {
+				selectable = append(selectable, i)
 			}
 		}
 	}
 	switch {
-	case len(used) == 0 && len(all) > 0:
-		used = all
-	case 2*len(used) < len(local):
-		used = local
+	case len(selectable) == 0 && len(all) > 0:
+		selectable = all
+	case 2*len(selectable) < len(inDataCentre):
+		selectable = inDataCentre
 	}
 	var best *instance
 	bestHash := uint64(0)
-	for _, i := range used {
+	for _, i := range selectable {
 		h := fnv.New64a()
 		_, _ = fmt.Fprint(h, i.id, src, dst) // a hash accepts everything
 		if x := h.Sum64() * 0x9e3779b97f4a7c15; best == nil || x > bestHash {
@@ -299,13 +299,13 @@
 // lost.
 func (f *fleet) route(dc string) func(src, dst netip.AddrPort) netip.AddrPort {
 	return func(src, dst netip.AddrPort) netip.AddrPort {
-		i := f.chosen(dc, src, dst)
+		i := f.selectInstance(dc, src, dst)
 		f.mu.Lock()
-		lost := f.rng.Float64() < f.loss
+		lost := f.lossRNG.Float64() < f.lossRate
 		f.mu.Unlock()
 		if lost || i == nil {
 			return netip.AddrPortFrom(f.addr(250, 1), datagramPort)
 		}
-		return netip.AddrPortFrom(i.ip, datagramPort)
+		return netip.AddrPortFrom(i.addr, datagramPort)
 	}
 }
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -8,24 +8,24 @@
 )
 
 // mode is what a proxy does to connections.
-type mode int32
+type proxyMode int32
 
 const (
-	pass   mode = iota
-	slow        // each read is held for slowBy
-	refuse      // connections are reset, and new ones closed at once
-	silent      // nothing passes, and nothing is closed
-	oneWay      // only what the dialling side sends passes
-	modes       // number of modes
+	passAll   proxyMode = iota
+	slow                // each read is held for slowBy
+	refuse              // connections are reset, and new ones closed at once
+	silent              // nothing passes, and nothing is closed
+	oneWay              // only what the dialling side sends passes
+	modeCount           // number of modes
 )
 
 // slowBy is the delay of a slow proxy in each direction.
-const slowBy = 120 * time.Millisecond
+const slowDelay = 120 * time.Millisecond
 
 // proxy is a loopback proxy in front of one address.
 type proxy struct {
 	listener net.Listener
-	to       string
+	upstream string
 	mode     atomic.Int32
 
 	mu    sync.Mutex
@@ -34,12 +34,12 @@
 	muted map[net.Conn]bool
 }
 
-func newProxy(at, to string) (*proxy, error) {
-	listener, err := net.Listen("tcp4", at)
+func newProxy(address, upstream string) (*proxy, error) {
+	listener, err := net.Listen("tcp4", address)
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{listener: listener, to: to, conns: map[net.Conn]bool{}, muted: map[net.Conn]bool{}}
+	p := &proxy{listener: listener, upstream: upstream, conns: map[net.Conn]bool{}, muted: map[net.Conn]bool{}}
 	go p.serve()
 	return p, nil
 }
@@ -48,44 +48,44 @@
 
 func (p *proxy) serve() {
 	for {
-		in, err := p.listener.Accept()
+		client, err := p.listener.Accept()
 		if err != nil {
 			return // closed
 		}
-		if mode(p.mode.Load()) == refuse {
-			reset(in)
+		if proxyMode(p.mode.Load()) == refuse {
+			reset(client)
 			continue
 		}
-		out, err := net.Dial("tcp4", p.to)
+		server, err := net.Dial("tcp4", p.upstream)
 		if err != nil {
-			reset(in)
+			reset(client)
 			continue
 		}
 		p.mu.Lock()
-		p.conns[in], p.conns[out] = true, true
+		p.conns[client], p.conns[server] = true, true
 		p.mu.Unlock()
-		go p.copy(out, in, true)
-		go p.copy(in, out, false)
+		go p.copy(server, client, true)
+		go p.copy(client, server, false)
 	}
 }
 
 // copy passes bytes from one side to the other as the mode says.
 func (p *proxy) copy(to, from net.Conn, forward bool) {
-	defer p.drop(to, from)
+	defer p.closeConns(to, from)
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
 		if err != nil {
 			return
 		}
-		for m := mode(p.mode.Load()); m == silent || (m == oneWay && !forward) || p.isMuted(from); m = mode(p.mode.Load()) {
+		for m := proxyMode(p.mode.Load()); m == silent || (m == oneWay && !forward) || p.isMuted(from); m = proxyMode(p.mode.Load()) {
 			time.Sleep(20 * time.Millisecond)
 			if p.closed(from) {
 				return
 			}
 		}
-		if mode(p.mode.Load()) == slow {
-			time.Sleep(slowBy)
+		if proxyMode(p.mode.Load()) == slow {
+			time.Sleep(slowDelay)
 		}
 		if _, err := to.Write(buffer[:n]); err != nil {
 			return
@@ -105,7 +105,7 @@
 	return !p.conns[c]
 }
 
-func (p *proxy) drop(conns ...net.Conn) {
+func (p *proxy) closeConns(conns ...net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range conns {
@@ -116,7 +116,7 @@
 }
 
 // set changes the mode. A proxy that refuses resets what is open.
-func (p *proxy) set(m mode) {
+func (p *proxy) setMode(m proxyMode) {
 	p.mode.Store(int32(m))
 	if m == refuse {
 		p.resetOpen()
--- a/soak/size_test.go
+++ b/soak/size_test.go
@@ -51,13 +51,13 @@
 		peak := peakMemory(t, i.cmd.Process.Pid)
 		t.Logf("%s: %d bytes at the peak", i.id, peak)
 		assert.Assert(t, peak <= controlMemory, "%s took %d bytes", i.id, peak)
-		state := stateOf(t, i) // afterwards, since the answer itself takes memory
-		for range 50 {         // beside the soak a version may take longer
+		state := readState(t, i) // afterwards, since the answer itself takes memory
+		for range 50 {           // beside the soak a version may take longer
 			if state.Version == 4 {
 				break
 			}
 			time.Sleep(200 * time.Millisecond)
-			state = stateOf(t, i)
+			state = readState(t, i)
 		}
 		assert.Equal(t, state.Version, uint64(4))
 		assert.Equal(t, state.Routes, targetRoutes)
@@ -65,8 +65,8 @@
 	}
 }
 
-func stateOf(t *testing.T, i *instance) (s forwarder.State) {
-	response, err := http.Get(fmt.Sprintf("http://%s:%d/v1/state", i.ip, metricsPort))
+func readState(t *testing.T, i *instance) (s forwarder.State) {
+	response, err := http.Get(fmt.Sprintf("http://%s:%d/v1/state", i.addr, metricsPort))
 	assert.NilError(t, err)
 	defer func() { _ = response.Body.Close() }()
 	assert.NilError(t, json.NewDecoder(response.Body).Decode(&s))
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -23,19 +23,19 @@
 )
 
 const (
-	ciTime     = 10 * time.Second // of faults, in a run without settings
-	settleTime = 5 * time.Second  // after the last fault until everything is served
-	budget     = 2 * time.Second  // of a request, in a run of faults
-	demoBudget = 5 * time.Second  // of a request in the demo: outlasts the loss of an instance
-	drainTime  = 3 * time.Second  // that a leaving target goes on serving
-	parallel   = 3                // seeds at a time
+	defaultFaultTime   = 10 * time.Second // of faults, in a run without settings
+	settleTime         = 5 * time.Second  // after the last fault until everything is served
+	requestTimeout     = 2 * time.Second  // of a request, in a run of faults
+	demoRequestTimeout = 5 * time.Second  // of a request in the demo: outlasts the loss of an instance
+	drainServeTime     = 3 * time.Second  // that a leaving target goes on serving
+	parallelSeeds      = 3                // seeds at a time
 )
 
 // service is a service with the targets that were ever started for it.
 type service struct {
-	name string
-	at   netip.AddrPort
-	kind string
+	name    string
+	address netip.AddrPort
+	kind    string
 }
 
 var services = []service{
@@ -44,40 +44,40 @@
 }
 
 // versionAddress returns the route that only this version has.
-func versionAddress(version int) netip.AddrPort {
+func versionRouteAddress(version int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.MustParseAddr("198.18.0.3"), uint16(10000+version))
 }
 
 // server is a backend server with what is known of its state.
 type server struct {
 	*platformtest.Target
-	drained   time.Time // when the store accepted that it leaves; zero before
-	disturbed time.Time // as of an instance; far ahead once it has ended
-	removed   time.Time // when a crashed server left the store
+	drainedAt      time.Time // when the store accepted that it leaves; zero before
+	disturbedUntil time.Time // as of an instance; far ahead once it has ended
+	removedAt      time.Time // when a crashed server left the store
 }
 
 // soak is one run.
 type soak struct {
 	*fleet
-	seed    uint64
-	budget  time.Duration // of a request
-	rng     *rand.Rand    // of faults; used by one goroutine
-	end     time.Time     // of the load
-	callers map[string]*platformtest.Caller
-
-	mu           sync.Mutex
-	servers      map[string]*server // by ID
-	number       uint32
-	version      int
-	acknowledged map[int]time.Time // by version
-	served       map[string]int
-	resets       int // of open flows
-	silent       int // requests on open flows without an answer in time
-	failures     []string
+	seed           uint64
+	requestTimeout time.Duration // of a request
+	faultRNG       *rand.Rand    // of faults; used by one goroutine
+	loadEnd        time.Time     // of the load
+	callers        map[string]*platformtest.Caller
+
+	mu               sync.Mutex
+	servers          map[string]*server // by ID
+	lastServerNumber uint32
+	latestVersion    int
+	acknowledgedAt   map[int]time.Time // by version
+	servedCount      map[string]int
+	resetCount       int // of open flows
+	timeoutCount     int // requests on open flows without an answer in time
+	failures         []string
 }
 
 // far is later than the end of any run.
-const far = 24 * time.Hour
+const never = 24 * time.Hour
 
 func (s *soak) violation(format string, args ...any) {
 	s.mu.Lock()
@@ -88,30 +88,30 @@
 }
 
 func TestSoak(t *testing.T) {
-	length, instances := soakoptions.Time(t, ciTime), soakoptions.Instances(t, 2)
-	slots := make(chan struct{}, parallel)
+	length, instances := soakoptions.Time(t, defaultFaultTime), soakoptions.Instances(t, 2)
+	slots := make(chan struct{}, parallelSeeds)
 	for _, seed := range soakoptions.Seeds(t) {
 		t.Run(fmt.Sprint("seed-", seed), func(t *testing.T) {
 			t.Parallel()
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			play(t, seed, length, instances)
+			runSeed(t, seed, length, instances)
 		})
 	}
 }
 
-func play(t *testing.T, seed uint64, length time.Duration, instances int) {
-	s := newSoak(t, seed, instances, budget)
-	s.load(length+settleTime+3*time.Second, func() { s.faults(length) })
-	t.Logf("seed %d: served %v, version %d", seed, s.served, s.version)
+func runSeed(t *testing.T, seed uint64, length time.Duration, instances int) {
+	s := newSoak(t, seed, instances, requestTimeout)
+	s.runLoad(length+settleTime+3*time.Second, func() { s.injectFaults(length) })
+	t.Logf("seed %d: served %v, version %d", seed, s.servedCount, s.latestVersion)
 }
 
 // TestDemo plays a fixed series of events and counts what callers and servers
 // see. make demo runs it. Guards against a flow that is reset, falls silent or
 // is crossed with another through a planned stop, a drain and a kill.
 func TestDemo(t *testing.T) {
-	s := newSoak(t, 0, 2, demoBudget)
-	s.load(16*time.Second, func() {
+	s := newSoak(t, 0, 2, demoRequestTimeout)
+	s.runLoad(16*time.Second, func() {
 		time.Sleep(2 * time.Second)
 		t.Log("planned stop of a-0")
 		s.stop(s.instances[0], time.Second)
@@ -120,15 +120,15 @@
 		t.Log("kill of b-2")
 		s.kill(s.instances[2], 2*time.Second)
 	})
-	t.Logf("served %v; flows reset %d, silent %d; crossed and repeated: see failures", s.served, s.resets, s.silent)
-	assert.Equal(t, s.resets, 0)
-	assert.Equal(t, s.silent, 0)
+	t.Logf("served %v; flows reset %d, silent %d; crossed and repeated: see failures", s.servedCount, s.resetCount, s.timeoutCount)
+	assert.Equal(t, s.resetCount, 0)
+	assert.Equal(t, s.timeoutCount, 0)
 }
 
 // newSoak starts a fleet with its servers and callers.
 func newSoak(t *testing.T, seed uint64, instances int, budget time.Duration) *soak {
-	s := &soak{fleet: newFleet(t, seed, instances), seed: seed, budget: budget, rng: rand.New(rand.NewPCG(seed, 1)), callers: map[string]*platformtest.Caller{},
-		servers: map[string]*server{}, number: uint32(seed) << 8, acknowledged: map[int]time.Time{}, served: map[string]int{}}
+	s := &soak{fleet: newFleet(t, seed, instances), seed: seed, requestTimeout: budget, faultRNG: rand.New(rand.NewPCG(seed, 1)), callers: map[string]*platformtest.Caller{},
+		servers: map[string]*server{}, lastServerNumber: uint32(seed) << 8, acknowledgedAt: map[int]time.Time{}, servedCount: map[string]int{}}
 	for _, sv := range services {
 		for n := range 4 {
 			s.addServer(sv.name, []string{"a", "b"}[n%2])
@@ -141,21 +141,21 @@
 		t.Cleanup(c.Close)
 		s.callers[dc] = c
 	}
-	s.awaitRotation()
+	s.awaitReady()
 	return s
 }
 
 // load runs callers for a time while events happen, and then checks what must
 // hold at the end.
-func (s *soak) load(length time.Duration, events func()) {
-	s.end = time.Now().Add(length)
+func (s *soak) runLoad(length time.Duration, events func()) {
+	s.loadEnd = time.Now().Add(length)
 	var load sync.WaitGroup
 	for dc, c := range s.callers {
 		for n := range 3 {
-			load.Go(func() { s.longCaller(dc, c, services[n%2]) })
-			load.Go(func() { s.shortCaller(dc, c, services[n%2]) })
+			load.Go(func() { s.runLongFlows(dc, c, services[n%2]) })
+			load.Go(func() { s.runShortFlows(dc, c, services[n%2]) })
 		}
-		load.Go(func() { s.versionCaller(dc, c) })
+		load.Go(func() { s.runVersionProbes(dc, c) })
 	}
 	events()
 	load.Wait()
@@ -165,12 +165,12 @@
 	}
 }
 
-func (s *soak) awaitRotation() {
+func (s *soak) awaitReady() {
 	for range 100 {
 		ready := 0
 		s.fleet.mu.Lock()
 		for _, i := range s.instances {
-			if i.inUse {
+			if i.inRotation {
 				ready++
 			}
 		}
@@ -186,8 +186,8 @@
 // addServer starts a backend server and publishes it.
 func (s *soak) addServer(name, dc string) *server {
 	s.mu.Lock()
-	s.number++
-	number := s.number
+	s.lastServerNumber++
+	number := s.lastServerNumber
 	s.mu.Unlock()
 	target, err := platformtest.NewTarget(number, name, dc, datagramPort)
 	assert.NilError(s.t, err)
@@ -204,18 +204,18 @@
 // publish writes the next version of the configuration.
 func (s *soak) publish() {
 	s.mu.Lock()
-	s.version++
-	version := s.version
+	s.latestVersion++
+	version := s.latestVersion
 	s.mu.Unlock()
 	routes := []platformtest.Route{}
 	for _, sv := range services {
-		routes = append(routes, platformtest.Route{IP: sv.at.Addr().String(), Port: int(sv.at.Port()), Service: sv.name, Kind: sv.kind})
+		routes = append(routes, platformtest.Route{IP: sv.address.Addr().String(), Port: int(sv.address.Port()), Service: sv.name, Kind: sv.kind})
 	}
-	at := versionAddress(version)
+	at := versionRouteAddress(version)
 	routes = append(routes, platformtest.Route{IP: at.Addr().String(), Port: int(at.Port()), Service: "slips", Kind: "safe"})
 	s.store.PutConfig(version, routes...)
 	s.mu.Lock()
-	s.acknowledged[version] = time.Now()
+	s.acknowledgedAt[version] = time.Now()
 	s.mu.Unlock()
 }
 
@@ -223,39 +223,39 @@
 func (s *soak) disturbServer(sv *server, d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if end := time.Now().Add(d); end.After(sv.disturbed) {
-		sv.disturbed = end
+	if end := time.Now().Add(d); end.After(sv.disturbedUntil) {
+		sv.disturbedUntil = end
 	}
 }
 
 // pick returns a random ready server, or nil when its service has too few.
-func (s *soak) pick() *server {
-	name := services[s.rng.IntN(len(services))].name
+func (s *soak) pickReadyServer() *server {
+	name := services[s.faultRNG.IntN(len(services))].name
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []*server
-	for n := uint32(s.seed)<<8 + 1; n <= s.number; n++ {
+	for n := uint32(s.seed)<<8 + 1; n <= s.lastServerNumber; n++ {
 		sv := s.servers[fmt.Sprintf("i-%08x", n)]
-		if sv.Service == name && sv.drained.IsZero() && time.Since(sv.disturbed) > 0 {
+		if sv.Service == name && sv.drainedAt.IsZero() && time.Since(sv.disturbedUntil) > 0 {
 			list = append(list, sv)
 		}
 	}
 	if len(list) < 3 {
 		return nil
 	}
-	return list[s.rng.IntN(len(list))]
+	return list[s.faultRNG.IntN(len(list))]
 }
 
 // faults injects faults until length is over. Their effects may outlast it.
-func (s *soak) faults(length time.Duration) {
+func (s *soak) injectFaults(length time.Duration) {
 	var pending sync.WaitGroup
 	defer pending.Wait()
 	stop := time.Now().Add(length)
 	for time.Now().Before(stop) {
-		time.Sleep(time.Duration(50+s.rng.IntN(800)) * time.Millisecond)
-		i := s.instances[s.rng.IntN(len(s.instances))]
-		d := time.Duration(100+s.rng.IntN(2500)) * time.Millisecond
-		switch kind := s.rng.IntN(14); kind {
+		time.Sleep(time.Duration(50+s.faultRNG.IntN(800)) * time.Millisecond)
+		i := s.instances[s.faultRNG.IntN(len(s.instances))]
+		d := time.Duration(100+s.faultRNG.IntN(2500)) * time.Millisecond
+		switch kind := s.faultRNG.IntN(14); kind {
 		case 0:
 			pending.Go(func() { s.kill(i, d/2) })
 		case 1:
@@ -265,12 +265,12 @@
 		case 3:
 			s.signal(i, syscall.SIGHUP)
 		case 4, 5:
-			m := mode(1 + s.rng.IntN(int(modes)-1))
-			all := s.rng.IntN(3) == 0
-			pending.Go(func() { s.cutStore(i, m, all, d) })
+			m := proxyMode(1 + s.faultRNG.IntN(int(modeCount)-1))
+			all := s.faultRNG.IntN(3) == 0
+			pending.Go(func() { s.disturbStore(i, m, all, d) })
 		case 6:
-			m := mode(1 + s.rng.IntN(int(modes)-1))
-			pending.Go(func() { s.cutControl(i, m, d) })
+			m := proxyMode(1 + s.faultRNG.IntN(int(modeCount)-1))
+			pending.Go(func() { s.disturbControl(i, m, d) })
 		case 7:
 			for _, i := range s.instances {
 				s.disturb(i, 0)
@@ -280,29 +280,29 @@
 		case 8:
 			s.store.DropHistory()
 		case 9, 10:
-			for range 1 + s.rng.IntN(3) {
+			for range 1 + s.faultRNG.IntN(3) {
 				s.publish()
-				time.Sleep(time.Duration(s.rng.IntN(400)) * time.Millisecond)
+				time.Sleep(time.Duration(s.faultRNG.IntN(400)) * time.Millisecond)
 			}
 		case 11:
-			if sv := s.pick(); sv != nil {
+			if sv := s.pickReadyServer(); sv != nil {
 				pending.Go(func() { s.drain(sv) })
 			}
 		case 12:
-			if sv := s.pick(); sv != nil {
-				crash := s.rng.IntN(2) == 0
-				pending.Go(func() { s.lose(sv, crash) })
+			if sv := s.pickReadyServer(); sv != nil {
+				crash := s.faultRNG.IntN(2) == 0
+				pending.Go(func() { s.failServer(sv, crash) })
 			}
 		case 13:
-			pending.Go(func() { s.loseDatagrams(d) })
+			pending.Go(func() { s.dropDatagrams(d) })
 		}
 	}
 }
 
 // kill ends a process without notice and starts it again.
 func (s *soak) kill(i *instance, down time.Duration) {
-	i.life.Lock()
-	defer i.life.Unlock()
+	i.lifecycleMu.Lock()
+	defer i.lifecycleMu.Unlock()
 	s.setDown(i, true)
 	s.signal(i, syscall.SIGKILL)
 	s.restart(i, down)
@@ -317,13 +317,13 @@
 
 // stop is a planned stop and a start. It must end in time and cut nothing.
 func (s *soak) stop(i *instance, down time.Duration) {
-	i.life.Lock()
-	defer i.life.Unlock()
+	i.lifecycleMu.Lock()
+	defer i.lifecycleMu.Unlock()
 	s.signal(i, syscall.SIGTERM)
 	select {
 	case <-i.ended:
-	case <-time.After(grace):
-		s.violation("%s has not ended %s after SIGTERM", i.id, grace)
+	case <-time.After(stopTimeout):
+		s.violation("%s has not ended %s after SIGTERM", i.id, stopTimeout)
 		s.signal(i, syscall.SIGKILL)
 	}
 	s.setDown(i, true)
@@ -332,8 +332,8 @@
 
 // freeze pauses a process.
 func (s *soak) freeze(i *instance, d time.Duration) {
-	i.life.Lock()
-	defer i.life.Unlock()
+	i.lifecycleMu.Lock()
+	defer i.lifecycleMu.Unlock()
 	s.setDown(i, true)
 	s.signal(i, syscall.SIGSTOP)
 	time.Sleep(d)
@@ -342,29 +342,29 @@
 }
 
 // cutStore disturbs the connections of one or all instances to the store.
-func (s *soak) cutStore(i *instance, m mode, all bool, d time.Duration) {
+func (s *soak) disturbStore(i *instance, m proxyMode, all bool, d time.Duration) {
 	list := []*instance{i}
 	if all {
 		list = s.instances
 	}
 	for _, i := range list {
 		s.disturb(i, d)
-		i.store.set(m)
+		i.store.setMode(m)
 	}
 	time.Sleep(d)
 	for _, i := range list {
-		i.store.set(pass)
+		i.store.setMode(passAll)
 	}
 }
 
 // cutControl disturbs the connections of other instances to one.
-func (s *soak) cutControl(i *instance, m mode, d time.Duration) {
+func (s *soak) disturbControl(i *instance, m proxyMode, d time.Duration) {
 	for _, other := range s.instances {
 		s.disturb(other, d)
 	}
-	i.control.set(m)
+	i.control.setMode(m)
 	time.Sleep(d)
-	i.control.set(pass)
+	i.control.setMode(passAll)
 }
 
 // drain announces that a server leaves, and starts another one before.
@@ -373,23 +373,23 @@
 	s.store.PutTarget(sv.Target, "draining")
 	sv.Drain()
 	s.mu.Lock()
-	sv.drained = time.Now()
+	sv.drainedAt = time.Now()
 	s.mu.Unlock()
-	time.Sleep(drainTime + applyWithin)
-	s.disturbServer(sv, far)
+	time.Sleep(drainServeTime + applyWithin)
+	s.disturbServer(sv, never)
 	s.store.DeleteTarget(sv.Target)
 	sv.Close()
 }
 
 // lose makes a server fall silent for a time, or crash for good.
-func (s *soak) lose(sv *server, crash bool) {
-	s.disturbServer(sv, far)
+func (s *soak) failServer(sv *server, crash bool) {
+	s.disturbServer(sv, never)
 	if !crash {
 		sv.SetSilent(true)
 		time.Sleep(time.Second)
 		sv.SetSilent(false)
 		s.mu.Lock()
-		sv.disturbed = time.Now()
+		sv.disturbedUntil = time.Now()
 		s.mu.Unlock()
 		return
 	}
@@ -399,23 +399,23 @@
 	s.store.DeleteTarget(sv.Target)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	sv.removed = time.Now()
+	sv.removedAt = time.Now()
 }
 
 // loseDatagrams loses a part of the callers' datagrams.
-func (s *soak) loseDatagrams(d time.Duration) {
+func (s *soak) dropDatagrams(d time.Duration) {
 	for _, i := range s.instances {
 		s.disturb(i, d)
 	}
-	s.setLoss(0.05)
+	s.setLossRate(0.05)
 	time.Sleep(d)
-	s.setLoss(0)
+	s.setLossRate(0)
 }
 
-func (s *soak) setLoss(share float64) {
+func (s *soak) setLossRate(share float64) {
 	s.fleet.mu.Lock()
 	defer s.fleet.mu.Unlock()
-	s.loss = share
+	s.lossRate = share
 }
 
 // checkEnd asserts what must hold after the run: everything is served again,
@@ -433,10 +433,10 @@
 		}
 	}
 	for _, sv := range services {
-		if s.served[sv.name] == 0 {
+		if s.servedCount[sv.name] == 0 {
 			s.violation("no request of %s was served", sv.name)
 		}
 	}
 }
 
-var errWrongAnswer = errors.New("the answer belongs to another request or service")
+var errWrongResponse = errors.New("the answer belongs to another request or service")
