--- a/internal/soakoptions/soakoptions.go
+++ b/internal/soakoptions/soakoptions.go
@@ -1,6 +1,7 @@
-// Package soakoptions reads what the soaks of both kinds of traffic are told by
-// the environment: SOAK_SEEDS=1-50 for seeds, SOAK_TIME=60s for the time of
-// faults, SOAK_INSTANCES=20 for the instances in each data centre.
+// Package soakoptions reads the environment variables that configure the soak
+// tests of packages soak and e2e: SOAK_SEEDS=1-50 sets the seeds, SOAK_TIME=60s the
+// duration of fault injection and SOAK_INSTANCES=20 the number of instances in each
+// data centre.
 package soakoptions
 
 import (
@@ -13,16 +14,17 @@
 	"gotest.tools/v3/assert"
 )
 
-// Seeds returns the seeds of SOAK_SEEDS, or without it those of the file
-// testdata/seeds.txt: a seed at the start of each line, and a comment.
+// Seeds returns the seeds of SOAK_SEEDS. Without that variable, it returns those of
+// the file testdata/seeds.txt, which has a seed at the start of each line, followed
+// by a comment.
 func Seeds(t testing.TB) (seeds []uint64) {
 	t.Helper()
 	if text := os.Getenv("SOAK_SEEDS"); text != "" {
-		first, last, found := strings.Cut(text, "-")
+		firstText, lastText, found := strings.Cut(text, "-")
 		if !found {
-			last = first
+			lastText = firstText
 		}
-		for seed, end := number(t, first), number(t, last); seed <= end; seed++ {
+		for seed, end := parseNumber(t, firstText), parseNumber(t, lastText); seed <= end; seed++ {
 			seeds = append(seeds, seed)
 		}
 		return seeds
@@ -32,37 +34,37 @@
 	for line := range strings.Lines(string(data)) {
 		word, _, _ := strings.Cut(strings.TrimSpace(line), " ")
 		if word != "" && !strings.HasPrefix(word, "#") {
-			seeds = append(seeds, number(t, word))
+			seeds = append(seeds, parseNumber(t, word))
 		}
 	}
 	return seeds
 }
 
-func number(t testing.TB, text string) uint64 {
+func parseNumber(t testing.TB, text string) uint64 {
 	t.Helper()
 	n, err := strconv.ParseUint(text, 10, 64)
 	assert.NilError(t, err)
 	return n
 }
 
-// Time returns SOAK_TIME, or otherwise.
-func Time(t testing.TB, otherwise time.Duration) time.Duration {
+// Time returns the duration in SOAK_TIME, or defaultValue if it is not set.
+func Time(t testing.TB, defaultValue time.Duration) time.Duration {
 	t.Helper()
 	text := os.Getenv("SOAK_TIME")
 	if text == "" {
-		return otherwise
+		return defaultValue
 	}
-	length, err := time.ParseDuration(text)
+	duration, err := time.ParseDuration(text)
 	assert.NilError(t, err)
-	return length
+	return duration
 }
 
-// Instances returns SOAK_INSTANCES, or otherwise.
-func Instances(t testing.TB, otherwise int) int {
+// Instances returns the number in SOAK_INSTANCES, or defaultValue if it is not set.
+func Instances(t testing.TB, defaultValue int) int {
 	t.Helper()
 	text := os.Getenv("SOAK_INSTANCES")
 	if text == "" {
-		return otherwise
+		return defaultValue
 	}
-	return int(number(t, text))
+	return int(parseNumber(t, text))
 }
--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -10,14 +10,14 @@
 	"arbutusdock.example/arbutusdock/platform/platformtest"
 )
 
-// attempt is what a caller knows of a flow that it opens.
+// flowAttempt describes the opening of a flow by a caller.
 type flowAttempt struct {
 	dc        string
 	instance  *instance
 	startedAt time.Time
 }
 
-// open opens a flow and judges the outcome.
+// open opens a flow and checks the outcome.
 func (s *soak) open(dc string, c *platformtest.Caller, svc service) (*platformtest.Flow, flowAttempt, error) {
 	undisturbedBefore := s.allUndisturbed()
 	a := flowAttempt{dc: dc, startedAt: time.Now()}
@@ -32,8 +32,9 @@
 	return flow, a, nil
 }
 
-// undisturbed reports whether every instance and every server in use has been
-// left alone for long enough. Planned work is no disturbance.
+// allUndisturbed reports whether every instance and every server in use has been
+// without a disturbance for recoveryTime. Planned stops and drains are not
+// disturbances.
 func (s *soak) allUndisturbed() bool {
 	for _, i := range s.instances {
 		if !s.undisturbed(i) {
@@ -50,20 +51,22 @@
 	return true
 }
 
-// forgotten reports whether a crashed server left the store long enough ago.
+// outOfStore reports whether a crashed server was deleted from the store more than
+// recoveryTime ago.
 func (sv *server) outOfStore() bool {
 	return !sv.removedAt.IsZero() && time.Since(sv.removedAt) > recoveryTime
 }
 
-// request runs a request and judges the answer. It returns the server's ID.
+// request sends a request on a flow and checks the response. It returns the ID of
+// the backend server.
 func (s *soak) request(flow *platformtest.Flow, a flowAttempt, svc service, newFlow bool) (string, error) {
 	text := fmt.Sprintf("%s-%d-%d", a.dc, time.Now().UnixNano(), rand.Uint32())
 	undisturbedBefore := s.allUndisturbed()
 	response, err := flow.Request([]byte(text), s.requestTimeout)
 	if err != nil {
 		s.countFailedRequest(err)
-		// Which server it was is not known; a reset is judged as if it were one
-		// that nothing had disturbed.
+		// The server of the flow is not known here, so the failure is a violation
+		// only if no instance and no server is disturbed or draining.
 		if undisturbedBefore && s.allUndisturbed() && !s.anyDraining() {
 			s.violation("a request on an open flow to %s failed while nothing was disturbed: %v", svc.name, err)
 		}
@@ -84,7 +87,7 @@
 	return fields[1], nil
 }
 
-// countBroken counts a request that failed on an open flow.
+// countFailedRequest counts a request that failed on an open flow.
 func (s *soak) countFailedRequest(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,7 +98,7 @@
 	}
 }
 
-// anyLeaving reports whether a server that leaves may end flows.
+// anyDraining reports whether there is a draining server that may end flows.
 func (s *soak) anyDraining() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,7 +110,8 @@
 	return false
 }
 
-// longCaller keeps a flow open for many requests.
+// runLongFlows keeps a flow open for many requests and opens another one when it
+// fails.
 func (s *soak) runLongFlows(dc string, c *platformtest.Caller, svc service) {
 	for time.Now().Before(s.loadEnd) {
 		flow, a, err := s.open(dc, c, svc)
@@ -129,7 +133,7 @@
 	}
 }
 
-// shortCaller opens a flow for each request.
+// runShortFlows opens a flow for each request.
 func (s *soak) runShortFlows(dc string, c *platformtest.Caller, svc service) {
 	for time.Now().Before(s.loadEnd) {
 		if flow, a, err := s.open(dc, c, svc); err == nil {
@@ -141,8 +145,8 @@
 	}
 }
 
-// versionCaller opens flows to routes that a single version has, and concludes
-// which version an instance has in force.
+// runVersionProbes opens flows to routes that only one version of the configuration
+// has, to find out which version an instance has in force.
 func (s *soak) runVersionProbes(dc string, c *platformtest.Caller) {
 	for time.Now().Before(s.loadEnd) {
 		time.Sleep(time.Duration(50+rand.IntN(200)) * time.Millisecond)
@@ -180,8 +184,8 @@
 	}
 }
 
-// proveVersion records that an instance has a version in force, which it must
-// never leave for an older one.
+// recordVersion records that an instance has a version in force and checks that it
+// did not go back from a newer one.
 func (s *soak) recordVersion(inst *instance, version int, startedAt time.Time) {
 	const tolerance = 250 * time.Millisecond
 	s.fleet.mu.Lock()
--- a/soak/fleet_test.go
+++ b/soak/fleet_test.go
@@ -21,10 +21,10 @@
 	"arbutusdock.example/arbutusdock/platform/platformtest"
 )
 
-// Bounds that the deployment states to its instances, and that the checks use.
+// Bounds that the settings of the instances and the checks use.
 const (
-	applyWithin     = 3 * time.Second // for a change to be in force
-	recoveryTime    = 4 * time.Second // after a disturbance until bounds hold again
+	applyWithin     = 3 * time.Second // for a change to come into force
+	recoveryTime    = 4 * time.Second // after a disturbance until the bounds hold again
 	stopTimeout     = 6 * time.Second // for a planned stop
 	probeInterval   = 500 * time.Millisecond
 	maxFailedProbes = 2
@@ -39,7 +39,7 @@
 	proxyPort    = 7104
 )
 
-// bin holds the daemon, built once.
+// bin is the path of the daemon, which TestMain builds.
 var bin string
 
 func TestMain(m *testing.M) { os.Exit(run(m)) }
@@ -71,20 +71,20 @@
 	store    *proxy // between the instance and the store
 	control  *proxy // between other instances and this one
 
-	// life is held while a fault decides about the process, so that no two start
-	// it again.
+	// lifecycleMu is held while a fault ends, suspends or restarts the process, so
+	// that two faults do not start it at the same time.
 	lifecycleMu sync.Mutex
 
 	cmd             *exec.Cmd
 	ended           chan struct{} // closed when the process has ended
 	starts          int           // number of starts
 	failedProbes    int
-	inRotation      bool      // in rotation
+	inRotation      bool      // the fabric selects it for packets
 	down            bool      // killed or paused
 	disturbedUntil  time.Time // end of the last disturbance
-	observedVersion int       // version whose effect a caller has seen
+	observedVersion int       // newest version whose route a caller could open
 	observedAt      time.Time
-	observedStart   int // start in which it was seen
+	observedStart   int // value of starts at that time
 }
 
 // fleet is a deployment with two data centres.
@@ -99,14 +99,15 @@
 	mu        sync.Mutex
 	instances []*instance
 	lossRate  float64
-	lossRNG   *rand.Rand // of losses
+	lossRNG   *rand.Rand // of datagram loss
 }
 
 func (f *fleet) addr(host, n int) netip.Addr {
 	return netip.AddrFrom4([4]byte{127, byte(f.networkByte), byte(host), byte(n)})
 }
 
-// network takes a loopback network that no other run on this machine uses.
+// reserveNetwork reserves a loopback network that no other run on this machine
+// uses and returns the second byte of its addresses.
 func reserveNetwork(t *testing.T) int {
 	for n := 10; n < 100; n++ {
 		lock := filepath.Join(os.TempDir(), fmt.Sprintf("arbutusdock-soak-net-%d", n))
@@ -115,7 +116,7 @@
 			return n
 		}
 	}
-	t.Fatal("no loopback network is free; remove arbutusdock-soak-net-* of ended runs in the temporary directory")
+	t.Fatal("no free loopback network; remove arbutusdock-soak-net-* of ended runs from the temporary directory")
 	return 0
 }
 
@@ -185,7 +186,7 @@
 	cmd.Stdout, cmd.Stderr = i.log, i.log
 	assert.NilError(f.t, cmd.Start())
 	ended := make(chan struct{})
-	go func() { _ = cmd.Wait(); close(ended) }() // the state of the process tells the result
+	go func() { _ = cmd.Wait(); close(ended) }() // the result is in the state of the process
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	i.cmd, i.ended = cmd, ended
@@ -200,7 +201,7 @@
 	}
 }
 
-// signal sends a signal to the process of an instance, if it is still there.
+// signal sends a signal to the process of an instance unless it has ended.
 func (f *fleet) signal(i *instance, s syscall.Signal) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -228,14 +229,15 @@
 	}
 }
 
-// calm reports whether an instance has been undisturbed for long enough.
+// undisturbed reports whether an instance is up and its last disturbance ended
+// more than recoveryTime ago.
 func (f *fleet) undisturbed(i *instance) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return !i.down && time.Since(i.disturbedUntil) > recoveryTime
 }
 
-// probe asks for the readiness of an instance as the fabric does.
+// probe polls the readiness of an instance as the network fabric does.
 func (f *fleet) probe(ctx context.Context, i *instance) {
 	client := &http.Client{Timeout: probeInterval - 50*time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
 	url := fmt.Sprintf("http://%s:%d/ready", i.addr, readyPort)
@@ -260,8 +262,8 @@
 	}
 }
 
-// chosen returns the instance to which the fabric sends the packets of a flow
-// of a caller in a data centre.
+// selectInstance returns the instance to which the network fabric sends the
+// packets of a flow of a caller in a data centre.
 func (f *fleet) selectInstance(dc string, src, dst netip.AddrPort) *instance {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -287,7 +289,7 @@
 	bestHash := uint64(0)
 	for _, i := range selectable {
 		h := fnv.New64a()
-		_, _ = fmt.Fprint(h, i.id, src, dst) // a hash accepts everything
+		_, _ = fmt.Fprint(h, i.id, src, dst) // writing to a hash does not fail
 		if x := h.Sum64() * 0x9e3779b97f4a7c15; best == nil || x > bestHash {
 			best, bestHash = i, x
 		}
@@ -295,8 +297,8 @@
 	return best
 }
 
-// route returns where a packet goes, or an address that nobody reads if it is
-// lost.
+// route returns a function that gives the address to which a packet is sent. For a
+// lost packet this is an address on which nothing listens.
 func (f *fleet) route(dc string) func(src, dst netip.AddrPort) netip.AddrPort {
 	return func(src, dst netip.AddrPort) netip.AddrPort {
 		i := f.selectInstance(dc, src, dst)
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// mode is what a proxy does to connections.
+// proxyMode is what a proxy does to connections.
 type proxyMode int32
 
 const (
 	passAll   proxyMode = iota
-	slow                // each read is held for slowBy
+	slow                // each read is delayed by slowDelay
 	refuse              // connections are reset, and new ones closed at once
-	silent              // nothing passes, and nothing is closed
-	oneWay              // only what the dialling side sends passes
+	silent              // no data is forwarded, and no connection is closed
+	oneWay              // only data of the dialling side is forwarded
 	modeCount           // number of modes
 )
 
-// slowBy is the delay of a slow proxy in each direction.
+// slowDelay is the delay of a slow proxy in each direction.
 const slowDelay = 120 * time.Millisecond
 
-// proxy is a loopback proxy in front of one address.
+// proxy is a TCP proxy on loopback in front of one address.
 type proxy struct {
 	listener net.Listener
 	upstream string
@@ -30,7 +30,7 @@
 
 	mu    sync.Mutex
 	conns map[net.Conn]bool
-	// muted holds connections that were silenced for good.
+	// muted holds the connections on which no more data is forwarded.
 	muted map[net.Conn]bool
 }
 
@@ -69,7 +69,7 @@
 	}
 }
 
-// copy passes bytes from one side to the other as the mode says.
+// copy forwards bytes from one side to the other according to the mode.
 func (p *proxy) copy(to, from net.Conn, forward bool) {
 	defer p.closeConns(to, from)
 	buffer := make([]byte, 32<<10)
@@ -115,7 +115,7 @@
 	}
 }
 
-// set changes the mode. A proxy that refuses resets what is open.
+// setMode changes the mode. The mode refuse resets the open connections.
 func (p *proxy) setMode(m proxyMode) {
 	p.mode.Store(int32(m))
 	if m == refuse {
@@ -131,7 +131,7 @@
 	}
 }
 
-// muteOpen silences the open connections for good; new ones work.
+// muteOpen stops forwarding on the open connections for good; new ones work.
 func (p *proxy) muteOpen() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/soak/size_test.go
+++ b/soak/size_test.go
@@ -16,18 +16,18 @@
 	"arbutusdock.example/arbutusdock/platform/platformtest"
 )
 
-// The target size of a deployment, and what an instance may take for control
-// there (docs/CAPACITY.md).
+// The target size of a deployment, and the memory that the control plane of an
+// instance may use at that size (docs/CAPACITY.md).
 const (
 	targetServers  = 29_000
 	targetServices = 1_360
 	targetRoutes   = 6_800
-	controlMemory  = 64_000_000 // bytes, as the kernel counts the process at its peak
+	controlMemory  = 64_000_000 // bytes of peak resident memory of the process
 )
 
-// Guards against an instance that needs more memory than the limit for what is
-// published at the target size, the reserve of the garbage collector included: at
-// its start, as versions follow each other, and after it has lost the history.
+// Guards against an instance that exceeds the memory limit at the target size,
+// including the headroom of the garbage collector: at its start, while it applies
+// successive versions, and after the store has dropped its history.
 func TestMemoryAtTargetSize(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 0, 1)
@@ -51,8 +51,8 @@
 		peak := peakMemory(t, i.cmd.Process.Pid)
 		t.Logf("%s: %d bytes at the peak", i.id, peak)
 		assert.Assert(t, peak <= controlMemory, "%s took %d bytes", i.id, peak)
-		state := readState(t, i) // afterwards, since the answer itself takes memory
-		for range 50 {           // beside the soak a version may take longer
+		state := readState(t, i) // read after the peak, since the response itself takes memory
+		for range 50 {           // a version may take longer while the soak runs
 			if state.Version == 4 {
 				break
 			}
@@ -84,6 +84,6 @@
 			return kib << 10
 		}
 	}
-	t.Fatal("no VmHWM")
+	t.Fatal("no VmHWM line in the status of the process")
 	return 0
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -1,9 +1,10 @@
-// Package soak runs real daemons as separate processes, injects faults from
-// outside by signals and loopback proxies in series that overlap, and checks
-// while they run what callers and backend servers see.
+// Package soak runs real daemons as separate processes and injects random,
+// overlapping faults with signals and loopback proxies. While they run, it checks
+// the responses and connections that callers and backend servers observe.
 //
-// A run without settings plays the seeds of CI and those that ever failed;
-// internal/soakoptions says which there are.
+// Without environment variables, a run uses the seeds of testdata/seeds.txt: those
+// of CI and those that have failed before. Package soakoptions describes the
+// variables.
 package soak
 
 import (
@@ -23,15 +24,15 @@
 )
 
 const (
-	defaultFaultTime   = 10 * time.Second // of faults, in a run without settings
-	settleTime         = 5 * time.Second  // after the last fault until everything is served
-	requestTimeout     = 2 * time.Second  // of a request, in a run of faults
-	demoRequestTimeout = 5 * time.Second  // of a request in the demo: outlasts the loss of an instance
-	drainServeTime     = 3 * time.Second  // that a leaving target goes on serving
-	parallelSeeds      = 3                // seeds at a time
+	defaultFaultTime   = 10 * time.Second // duration of faults without SOAK_TIME
+	settleTime         = 5 * time.Second  // after the last fault until all requests are served
+	requestTimeout     = 2 * time.Second  // in TestSoak
+	demoRequestTimeout = 5 * time.Second  // in TestDemo: longer than the recovery from the loss of an instance
+	drainServeTime     = 3 * time.Second  // for which a draining target continues to serve
+	parallelSeeds      = 3                // seeds that run at the same time
 )
 
-// service is a service with the targets that were ever started for it.
+// service is a service with its route and the kind of its requests.
 type service struct {
 	name    string
 	address netip.AddrPort
@@ -43,26 +44,27 @@
 	{"slips", netip.MustParseAddrPort("198.18.0.2:443"), "download"},
 }
 
-// versionAddress returns the route that only this version has.
+// versionRouteAddress returns the address of the route that only this
+// version of the configuration has.
 func versionRouteAddress(version int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.MustParseAddr("198.18.0.3"), uint16(10000+version))
 }
 
-// server is a backend server with what is known of its state.
+// server is a backend server with the faults and drains injected into it.
 type server struct {
 	*platformtest.Target
-	drainedAt      time.Time // when the store accepted that it leaves; zero before
-	disturbedUntil time.Time // as of an instance; far ahead once it has ended
-	removedAt      time.Time // when a crashed server left the store
+	drainedAt      time.Time // when the store accepted its draining state; zero before
+	disturbedUntil time.Time // end of the last disturbance; never once it is closed
+	removedAt      time.Time // when a crashed server was deleted from the store
 }
 
-// soak is one run.
+// soak is one soak run: a fleet, its backend servers and callers, and the results.
 type soak struct {
 	*fleet
 	seed           uint64
-	requestTimeout time.Duration // of a request
-	faultRNG       *rand.Rand    // of faults; used by one goroutine
-	loadEnd        time.Time     // of the load
+	requestTimeout time.Duration // as the constants
+	faultRNG       *rand.Rand    // selects the faults; used by one goroutine
+	loadEnd        time.Time     // when the load ends
 	callers        map[string]*platformtest.Caller
 
 	mu               sync.Mutex
@@ -71,12 +73,12 @@
 	latestVersion    int
 	acknowledgedAt   map[int]time.Time // by version
 	servedCount      map[string]int
-	resetCount       int // of open flows
-	timeoutCount     int // requests on open flows without an answer in time
+	resetCount       int // resets of open flows
+	timeoutCount     int // requests on open flows without a response in time
 	failures         []string
 }
 
-// far is later than the end of any run.
+// never is a duration that lasts beyond the end of any run.
 const never = 24 * time.Hour
 
 func (s *soak) violation(format string, args ...any) {
@@ -106,9 +108,10 @@
 	t.Logf("seed %d: served %v, version %d", seed, s.servedCount, s.latestVersion)
 }
 
-// TestDemo plays a fixed series of events and counts what callers and servers
-// see. make demo runs it. Guards against a flow that is reset, falls silent or
-// is crossed with another through a planned stop, a drain and a kill.
+// TestDemo runs a fixed series of events and counts the failures that callers and
+// backend servers observe. make demo runs it. Guards against a planned stop, a
+// drain or a kill that resets a flow, leaves its requests without a response or
+// delivers its packets to another flow.
 func TestDemo(t *testing.T) {
 	s := newSoak(t, 0, 2, demoRequestTimeout)
 	s.runLoad(16*time.Second, func() {
@@ -125,7 +128,7 @@
 	assert.Equal(t, s.timeoutCount, 0)
 }
 
-// newSoak starts a fleet with its servers and callers.
+// newSoak starts a fleet with its backend servers and callers.
 func newSoak(t *testing.T, seed uint64, instances int, budget time.Duration) *soak {
 	s := &soak{fleet: newFleet(t, seed, instances), seed: seed, requestTimeout: budget, faultRNG: rand.New(rand.NewPCG(seed, 1)), callers: map[string]*platformtest.Caller{},
 		servers: map[string]*server{}, lastServerNumber: uint32(seed) << 8, acknowledgedAt: map[int]time.Time{}, servedCount: map[string]int{}}
@@ -145,8 +148,8 @@
 	return s
 }
 
-// load runs callers for a time while events happen, and then checks what must
-// hold at the end.
+// runLoad runs callers for the given time, calls events meanwhile, and then checks
+// the final state and reports the violations.
 func (s *soak) runLoad(length time.Duration, events func()) {
 	s.loadEnd = time.Now().Add(length)
 	var load sync.WaitGroup
@@ -180,7 +183,7 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	s.t.Fatal("the instances are not ready within 10 s")
+	s.t.Fatal("not all instances were ready within 10 s")
 }
 
 // addServer starts a backend server and publishes it.
@@ -201,7 +204,7 @@
 	return sv
 }
 
-// publish writes the next version of the configuration.
+// publish writes the next version of the configuration to the store.
 func (s *soak) publish() {
 	s.mu.Lock()
 	s.latestVersion++
@@ -219,7 +222,7 @@
 	s.mu.Unlock()
 }
 
-// disturbServer marks a server as disturbed for d.
+// disturbServer marks a server as disturbed for d from now on.
 func (s *soak) disturbServer(sv *server, d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -228,7 +231,8 @@
 	}
 }
 
-// pick returns a random ready server, or nil when its service has too few.
+// pickReadyServer returns a random ready server of a random service, or nil if the
+// service has fewer than three.
 func (s *soak) pickReadyServer() *server {
 	name := services[s.faultRNG.IntN(len(services))].name
 	s.mu.Lock()
@@ -246,7 +250,7 @@
 	return list[s.faultRNG.IntN(len(list))]
 }
 
-// faults injects faults until length is over. Their effects may outlast it.
+// injectFaults begins faults until length is over and waits until all have ended.
 func (s *soak) injectFaults(length time.Duration) {
 	var pending sync.WaitGroup
 	defer pending.Wait()
@@ -299,7 +303,7 @@
 	}
 }
 
-// kill ends a process without notice and starts it again.
+// kill ends a process with SIGKILL and starts it again.
 func (s *soak) kill(i *instance, down time.Duration) {
 	i.lifecycleMu.Lock()
 	defer i.lifecycleMu.Unlock()
@@ -315,7 +319,8 @@
 	s.setDown(i, false)
 }
 
-// stop is a planned stop and a start. It must end in time and cut nothing.
+// stop does a planned stop and starts the instance again. The stop must end within
+// stopTimeout and break no flow.
 func (s *soak) stop(i *instance, down time.Duration) {
 	i.lifecycleMu.Lock()
 	defer i.lifecycleMu.Unlock()
@@ -330,7 +335,7 @@
 	s.restart(i, down)
 }
 
-// freeze pauses a process.
+// freeze suspends a process for d.
 func (s *soak) freeze(i *instance, d time.Duration) {
 	i.lifecycleMu.Lock()
 	defer i.lifecycleMu.Unlock()
@@ -341,7 +346,7 @@
 	s.setDown(i, false)
 }
 
-// cutStore disturbs the connections of one or all instances to the store.
+// disturbStore disturbs the connections of one or all instances to the store.
 func (s *soak) disturbStore(i *instance, m proxyMode, all bool, d time.Duration) {
 	list := []*instance{i}
 	if all {
@@ -357,7 +362,7 @@
 	}
 }
 
-// cutControl disturbs the connections of other instances to one.
+// disturbControl disturbs the control connections of other instances to one.
 func (s *soak) disturbControl(i *instance, m proxyMode, d time.Duration) {
 	for _, other := range s.instances {
 		s.disturb(other, d)
@@ -367,7 +372,7 @@
 	i.control.setMode(passAll)
 }
 
-// drain announces that a server leaves, and starts another one before.
+// drain starts a replacement of a server, drains the server and closes it.
 func (s *soak) drain(sv *server) {
 	s.addServer(sv.Service, sv.DataCentre)
 	s.store.PutTarget(sv.Target, "draining")
@@ -381,7 +386,8 @@
 	sv.Close()
 }
 
-// lose makes a server fall silent for a time, or crash for good.
+// failServer makes a server unresponsive for a second, or closes it for good and
+// starts a replacement.
 func (s *soak) failServer(sv *server, crash bool) {
 	s.disturbServer(sv, never)
 	if !crash {
@@ -395,14 +401,14 @@
 	}
 	sv.Close()
 	s.addServer(sv.Service, sv.DataCentre)
-	time.Sleep(2300 * time.Millisecond) // three heartbeats
+	time.Sleep(2300 * time.Millisecond) // the time of three missed heartbeats
 	s.store.DeleteTarget(sv.Target)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	sv.removedAt = time.Now()
 }
 
-// loseDatagrams loses a part of the callers' datagrams.
+// dropDatagrams drops 5% of the callers' datagrams for d.
 func (s *soak) dropDatagrams(d time.Duration) {
 	for _, i := range s.instances {
 		s.disturb(i, d)
@@ -418,8 +424,8 @@
 	s.lossRate = share
 }
 
-// checkEnd asserts what must hold after the run: everything is served again,
-// and no server has ever seen what it must not.
+// checkEnd checks after the run that every service has served requests, that no
+// packet was delivered to the wrong flow and that no request ran twice.
 func (s *soak) checkEnd() {
 	for dc, c := range s.callers {
 		if crossed := c.Misdelivered(); crossed > 0 {
@@ -439,4 +445,4 @@
 	}
 }
 
-var errWrongResponse = errors.New("the answer belongs to another request or service")
+var errWrongResponse = errors.New("the response belongs to another request or service")
