--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -12,8 +12,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against valid files that are refused and wrong defaults.
-func TestGood(t *testing.T) {
+// Guards against valid files being rejected and against wrong defaults.
+func TestValidFiles(t *testing.T) {
 	full, err := Load("testdata/good/full.toml")
 	assert.NilError(t, err)
 	assert.Equal(t, len(full.Seeds), 2)
@@ -31,14 +31,15 @@
 	assert.DeepEqual(t, minimal.Rings, full.Rings)
 }
 
-// Guards against an example file that drifts from the parser.
-func TestExample(t *testing.T) {
+// Guards against the example file getting out of step with the parser.
+func TestExampleFile(t *testing.T) {
 	_, err := Load("../../docs/examples/arbutusdockd.toml")
 	assert.NilError(t, err)
 }
 
-// Guards against a fault that goes unreported or points at the wrong line.
-func TestBad(t *testing.T) {
+// Guards against faults that are not reported or have the wrong line number.
+// A .want file holds the expected start of each fault message, one per line.
+func TestInvalidFiles(t *testing.T) {
 	files, err := filepath.Glob("testdata/bad/*.toml")
 	assert.NilError(t, err)
 	assert.Assert(t, len(files) > 0)
@@ -60,7 +61,7 @@
 	}
 }
 
-// Checks that no input panics.
+// Checks that no input causes a panic.
 func FuzzParse(f *testing.F) {
 	data, err := os.ReadFile("testdata/good/full.toml")
 	assert.NilError(f, err)
@@ -68,8 +69,9 @@
 	f.Fuzz(func(t *testing.T, data string) { _, _ = Parse([]byte(data)) })
 }
 
-// Guards against settings of a pass-through instance that are refused, wrong
-// defaults, and a template of the users' platform that does not fit the parser.
+// Guards against valid settings of a pass-through instance being rejected,
+// against wrong defaults, and against a settings template for the users'
+// platform (deploy/settings.toml) that the parser rejects.
 func TestPassthrough(t *testing.T) {
 	s, err := Load("../../docs/examples/passthrough.toml")
 	assert.NilError(t, err)
@@ -87,13 +89,13 @@
 
 	template, err := os.ReadFile("../../deploy/settings.toml")
 	assert.NilError(t, err)
-	text := strings.Replace(string(template), `{{@}} = {{.|json}}`, `a = "south"`, 1)
-	text = regexp.MustCompile(`\{\{[#/][^}]*\}\}`).ReplaceAllString(text, "")
-	text = strings.NewReplacer(`{{node|json}}`, `"edge-1"`, `{{zone|json}}`, `"a"`, `{{ip}}`, "10.1.0.10", `{{.|json}}`, `"10.1.0.10:8166"`, `{{,}}`, "",
-		`{{limits.memory-mb}}`, "414").Replace(text)
-	text = regexp.MustCompile(`\{\{[a-z.-]*\|json\}\}`).ReplaceAllString(text, `"10.1.0.10:81"`)
-	text = regexp.MustCompile(`\{\{[a-z.-]*-ms\}\}`).ReplaceAllString(text, "3000")
-	text = regexp.MustCompile(`\{\{[a-z.-]*-s\}\}`).ReplaceAllString(text, "6")
-	_, err = Parse([]byte(text))
-	assert.NilError(t, err, "%s", text)
+	content := strings.Replace(string(template), `{{@}} = {{.|json}}`, `a = "south"`, 1)
+	content = regexp.MustCompile(`\{\{[#/][^}]*\}\}`).ReplaceAllString(content, "")
+	content = strings.NewReplacer(`{{node|json}}`, `"edge-1"`, `{{zone|json}}`, `"a"`, `{{ip}}`, "10.1.0.10", `{{.|json}}`, `"10.1.0.10:8166"`, `{{,}}`, "",
+		`{{limits.memory-mb}}`, "414").Replace(content)
+	content = regexp.MustCompile(`\{\{[a-z.-]*\|json\}\}`).ReplaceAllString(content, `"10.1.0.10:81"`)
+	content = regexp.MustCompile(`\{\{[a-z.-]*-ms\}\}`).ReplaceAllString(content, "3000")
+	content = regexp.MustCompile(`\{\{[a-z.-]*-s\}\}`).ReplaceAllString(content, "6")
+	_, err = Parse([]byte(content))
+	assert.NilError(t, err, "%s", content)
 }
--- a/internal/standin/caller/conn.go
+++ b/internal/standin/caller/conn.go
@@ -19,65 +19,69 @@
 )
 
 const (
-	// shortAckTimeout is the transmission parameter of callers for which the
-	// options name none. A quarter of the default of RFC 7252 section 4.8, it lets
-	// a test see several retransmissions.
-	shortAckTimeout = 500 * time.Millisecond
-	maxRetransmit   = 4 // as in RFC 7252 section 4.8
-	// retransmitTick is the interval at which go-coap looks for messages to
-	// retransmit. Its default of 4 s is longer than the time to the first one.
-	retransmitTick = 50 * time.Millisecond
-	// parallel is the number of requests of one connection at a time; go-coap's
-	// default of 1 would delay a request behind another one of the same caller.
-	parallel = 64
-	blockSZX = 6 // blocks of 1024 bytes
+	// defaultAckTimeout is ACK_TIMEOUT if the options set none. It is a quarter of
+	// the default of RFC 7252 section 4.8, so that several retransmissions fit into
+	// a test.
+	defaultAckTimeout = 500 * time.Millisecond
+	maxRetransmit     = 4 // as in RFC 7252 section 4.8
+	// retransmitCheckInterval is the interval at which go-coap checks for messages
+	// to retransmit. Its default of 4 s is longer than the time to the first
+	// retransmission.
+	retransmitCheckInterval = 50 * time.Millisecond
+	// maxParallelRequests limits the concurrent requests of one connection. With
+	// go-coap's default of 1 a request would wait for the previous one of its caller.
+	maxParallelRequests = 64
+	blockSZX            = 6 // blocks of 1024 bytes
 )
 
-// transmitSpan is MAX_TRANSMIT_SPAN: from the first transmission to the last.
-func (o *Options) transmitSpan() time.Duration { return o.AckTimeout * (1<<maxRetransmit - 1) * 3 / 2 }
+// maxTransmitSpan returns MAX_TRANSMIT_SPAN (RFC 7252 section 4.8.2): the maximum
+// time from the first transmission of a message to its last retransmission.
+func (o *Options) maxTransmitSpan() time.Duration {
+	return o.AckTimeout * (1<<maxRetransmit - 1) * 3 / 2
+}
 
-// dialer opens the connections of one caller process.
+// dialer opens the CoAP connections of one caller process.
 type dialer struct {
-	tick       periodic.Func
-	ackTimeout time.Duration
+	retransmitRunner periodic.Func
+	ackTimeout       time.Duration
 }
 
 func (d *dialer) dial(local netip.Addr, to netip.AddrPort) (*client.Conn, error) {
 	cc, err := udp.Dial(to.String(),
 		options.WithDialer(&net.Dialer{LocalAddr: &net.UDPAddr{IP: local.AsSlice()}}),
-		options.WithPeriodicRunner(d.tick),
-		options.WithTransmission(parallel, d.ackTimeout, maxRetransmit),
-		options.WithLimitClientParallelRequest(parallel),
-		options.WithLimitClientEndpointParallelRequest(parallel),
+		options.WithPeriodicRunner(d.retransmitRunner),
+		options.WithTransmission(maxParallelRequests, d.ackTimeout, maxRetransmit),
+		options.WithLimitClientParallelRequest(maxParallelRequests),
+		options.WithLimitClientEndpointParallelRequest(maxParallelRequests),
 		options.WithBlockwise(false, blockwise.SZX1024, time.Second),
-		options.WithReceivedMessageQueueSize(parallel),
-		options.WithErrors(func(error) {}), // time-outs are counted by the operations
+		options.WithReceivedMessageQueueSize(maxParallelRequests),
+		options.WithErrors(func(error) {}), // operations count timeouts themselves
 	)
 	return cc, eris.Wrapf(err, "dial %s from %s", to, local)
 }
 
-// conn is one caller.
-type conn struct {
-	name string
-	host string // Uri-Host, which names the partner
-	cc   *client.Conn
+// callerConn is the connection of one caller.
+type callerConn struct {
+	caller string // caller name in request ids
+	host   string // Uri-Host, which names the partner
+	coap   *client.Conn
 }
 
-// question is one request as it is sent, possibly several times.
-type question struct {
-	code codes.Code
-	path string
-	id   string
-	echo []byte
-	op   string // operation whose outcome is asked for
-	// block is the number of the requested block of a large response. The
-	// library's own transfer is not used: it writes the request for a follow-up
-	// block into the ACK when the response was separate, and never retransmits it.
+// request holds the parameters of a request, which may be sent several times.
+type request struct {
+	code      codes.Code
+	path      string
+	id        string
+	echo      []byte
+	outcomeOf string // operation id of an outcome query; empty otherwise
+	// block is the number of the requested block of a large response. go-coap's own
+	// block-wise transfer is not used: after a separate response it puts the request
+	// for the next block into the ACK and never retransmits it.
 	block uint32
 }
 
-// answer is what the caller reads of a response.
-type answer struct {
+// response holds the parts of a response that the caller evaluates.
+type response struct {
 	code   codes.Code
 	body   []byte
 	echo   []byte
@@ -86,68 +90,68 @@
 	more   bool // further blocks follow
 }
 
-// build returns a message for q; the connection assigns the message id.
-func (c *conn) build(ctx context.Context, q question) (*pool.Message, error) {
+// newMessage returns a message for req; go-coap assigns the message id.
+func (c *callerConn) newMessage(ctx context.Context, req request) (*pool.Message, error) {
 	token, err := message.GetToken()
 	if err != nil {
 		return nil, eris.Wrap(err, "token")
 	}
-	m := c.cc.AcquireMessage(ctx)
-	m.SetCode(q.code)
+	m := c.coap.AcquireMessage(ctx)
+	m.SetCode(req.code)
 	m.SetToken(token)
 	if c.host != "" {
 		m.SetOptionString(message.URIHost, c.host)
 	}
-	m.MustSetPath(q.path)
-	m.AddQuery("id=" + q.id)
-	if q.op != "" {
-		m.AddQuery("op=" + q.op)
+	m.MustSetPath(req.path)
+	m.AddQuery("id=" + req.id)
+	if req.outcomeOf != "" {
+		m.AddQuery("op=" + req.outcomeOf)
 	}
-	if len(q.echo) > 0 {
-		if err := m.SetEcho(q.echo); err != nil {
-			c.cc.ReleaseMessage(m)
-			return nil, eris.Wrap(err, "echo option")
+	if len(req.echo) > 0 {
+		if err := m.SetEcho(req.echo); err != nil {
+			c.coap.ReleaseMessage(m)
+			return nil, eris.Wrap(err, "set Echo option")
 		}
 	}
-	if q.block > 0 {
-		m.SetOptionUint32(message.Block2, q.block<<4|blockSZX)
+	if req.block > 0 {
+		m.SetOptionUint32(message.Block2, req.block<<4|blockSZX)
 	}
-	if q.code == codes.POST {
-		m.SetBody(bytes.NewReader([]byte("record " + q.id)))
+	if req.code == codes.POST {
+		m.SetBody(bytes.NewReader([]byte("record " + req.id)))
 	}
 	return m, nil
 }
 
-// ask sends q and waits for its response.
-func (c *conn) ask(ctx context.Context, q question) (answer, error) {
-	m, err := c.build(ctx, q)
+// roundTrip sends req and waits for the response.
+func (c *callerConn) roundTrip(ctx context.Context, req request) (response, error) {
+	m, err := c.newMessage(ctx, req)
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
-	defer c.cc.ReleaseMessage(m)
-	r, err := c.cc.Do(m)
+	defer c.coap.ReleaseMessage(m)
+	r, err := c.coap.Do(m)
 	if err != nil {
-		return answer{}, eris.Wrapf(err, "request %s block %d", q.id, q.block)
+		return response{}, eris.Wrapf(err, "request %s block %d", req.id, req.block)
 	}
-	defer c.cc.ReleaseMessage(r)
-	a := answer{code: r.Code(), maxAge: 60 * time.Second}
-	if a.body, err = r.ReadBody(); err != nil {
-		return answer{}, eris.Wrapf(err, "body of %s", q.id)
+	defer c.coap.ReleaseMessage(r)
+	resp := response{code: r.Code(), maxAge: 60 * time.Second}
+	if resp.body, err = r.ReadBody(); err != nil {
+		return response{}, eris.Wrapf(err, "read response body of request %s", req.id)
 	}
 	if e, err := r.Echo(); err == nil {
-		a.echo = bytes.Clone(e)
+		resp.echo = bytes.Clone(e)
 	}
 	if s, err := r.GetOptionUint32(message.MaxAge); err == nil {
-		a.maxAge = time.Duration(s) * time.Second
+		resp.maxAge = time.Duration(s) * time.Second
 	}
 	if tag, err := r.ETag(); err == nil {
-		a.etag = bytes.Clone(tag)
+		resp.etag = bytes.Clone(tag)
 	}
 	if v, err := r.GetOptionUint32(message.Block2); err == nil {
-		if v>>4 != q.block {
-			return answer{}, eris.Errorf("request %s: block %d instead of %d", q.id, v>>4, q.block)
+		if v>>4 != req.block {
+			return response{}, eris.Errorf("request %s: got block %d, want %d", req.id, v>>4, req.block)
 		}
-		a.more = v&8 != 0
+		resp.more = v&8 != 0
 	}
-	return a, nil
+	return resp, nil
 }
