--- a/e2e/blockwise_test.go
+++ b/e2e/blockwise_test.go
@@ -20,9 +20,9 @@
 // different contents. A large certificate has 60 blocks.
 func TestDefaultClientFetchesLargeContent(t *testing.T) {
 	t.Parallel()
-	f := start(t)
-	local := &net.UDPAddr{IP: net.IPv4(127, byte(f.base+3), 1, 9)}
-	cc, err := udp.Dial(fmt.Sprintf("127.%d.1.1:5704", f.base+2), options.WithDialer(&net.Dialer{LocalAddr: local}))
+	f := startFleet(t)
+	local := &net.UDPAddr{IP: net.IPv4(127, byte(f.firstNetwork+3), 1, 9)}
+	cc, err := udp.Dial(fmt.Sprintf("127.%d.1.1:5704", f.firstNetwork+2), options.WithDialer(&net.Dialer{LocalAddr: local}))
 	assert.NilError(t, err)
 	defer func() { _ = cc.Close() }()
 	for n := range 20 {
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -28,10 +28,10 @@
 )
 
 const (
-	readyTime = 20 * time.Second // for a fleet to be ready
-	settle    = 2 * time.Second  // for the instances to find each other
-	exitTime  = 15 * time.Second // for a planned stop
-	seed      = 1
+	readyTimeout  = 20 * time.Second // for a fleet to be ready
+	discoveryTime = 2 * time.Second  // for the instances to find each other
+	exitTimeout   = 15 * time.Second // for a planned stop
+	seed          = 1
 )
 
 // bin holds the programs, built once.
@@ -60,19 +60,19 @@
 
 // fleet is two data centres of three instances, with the stand-ins around them.
 type fleet struct {
-	t      *testing.T
-	dir    string
-	base   int
-	procs  map[string]*exec.Cmd
-	logs   map[string]*os.File
-	ended  map[string]chan error
-	list   map[string][]string // instances.txt by id
-	events []report.Event
+	t            *testing.T
+	dir          string
+	firstNetwork int
+	processes    map[string]*exec.Cmd
+	logs         map[string]*os.File
+	exits        map[string]chan error
+	instances    map[string][]string // instances.txt by id
+	events       []report.Event
 }
 
 // networks takes five loopback networks that no other run on this machine uses
 // and returns the second byte of the first.
-func networks(t *testing.T) int {
+func reserveNetworks(t *testing.T) int {
 	t.Helper()
 	for base := 100; base <= 245; base += 5 {
 		lock := filepath.Join(os.TempDir(), fmt.Sprintf("arbutusdock-net-%d", base))
@@ -87,118 +87,122 @@
 
 // fleets bounds the fleets that run at a time. Eight fleets of six daemons each
 // delayed responses beyond the retransmission time-out on a busy machine.
-var fleets = make(chan struct{}, 3)
+var fleetSlots = make(chan struct{}, 3)
 
 // start runs a fleet.
-func start(t *testing.T) *fleet {
+func startFleet(t *testing.T) *fleet {
 	t.Helper()
-	fleets <- struct{}{}
-	t.Cleanup(func() { <-fleets })
-	base := networks(t)
+	fleetSlots <- struct{}{}
+	t.Cleanup(func() { <-fleetSlots })
+	base := reserveNetworks(t)
 	dir, err := os.MkdirTemp("", "arbutusdock-e2e.")
 	assert.NilError(t, err)
 	f := &fleet{
-		t: t, dir: dir, base: base, procs: map[string]*exec.Cmd{}, logs: map[string]*os.File{},
-		ended: map[string]chan error{}, list: map[string][]string{},
+		t: t, dir: dir, firstNetwork: base, processes: map[string]*exec.Cmd{}, logs: map[string]*os.File{},
+		exits: map[string]chan error{}, instances: map[string][]string{},
 	}
 	t.Cleanup(f.stop)
-	f.tool("standin", "generate", "--examples", "../docs/examples", "--out", f.dir, "--base", fmt.Sprint(base),
+	f.runTool("standin", "generate", "--examples", "../docs/examples", "--out", f.dir, "--base", fmt.Sprint(base),
 		"--instances", "3", "--linger", "1s", "--targets", "counter=3", "slip=1", "alarm=3", "certificate=2")
 	keys := filepath.Join(f.dir, "keys")
 	assert.NilError(t, os.MkdirAll(keys, 0o755))
-	f.tool("arbutusdock", "keys", "ca", "--dir", keys)
-	f.tool("arbutusdock", "keys", "admission", "--dir", keys, "--id", "1")
+	f.runTool("arbutusdock", "keys", "ca", "--dir", keys)
+	f.runTool("arbutusdock", "keys", "admission", "--dir", keys, "--id", "1")
 	data, err := os.ReadFile(filepath.Join(f.dir, "instances.txt"))
 	assert.NilError(t, err)
 	for line := range strings.Lines(string(data)) {
-		w := strings.Fields(line)
-		f.list[w[0]] = w
-		f.tool("arbutusdock", "keys", "instance", "--dir", keys, w[0])
+		fields := strings.Fields(line)
+		f.instances[fields[0]] = fields
+		f.runTool("arbutusdock", "keys", "instance", "--dir", keys, fields[0])
 	}
 	docs := filepath.Join(f.dir, "documents")
-	f.process("platform", "standin", "platform", "--documents", docs, "--lag", "300ms",
-		"--listen", f.helper(0, 1)+":7300", f.helper(1, 1)+":7300", f.helper(2, 1)+":7300")
-	f.process("backend", "standin", "backend", "--documents", docs, "--listen", f.helper(0, 2)+":7400",
+	f.startProcess("platform", "standin", "platform", "--documents", docs, "--lag", "300ms",
+		"--listen", f.helperAddr(0, 1)+":7300", f.helperAddr(1, 1)+":7300", f.helperAddr(2, 1)+":7300")
+	f.startProcess("backend", "standin", "backend", "--documents", docs, "--listen", f.helperAddr(0, 2)+":7400",
 		"--run", "counter=20ms", "slip=20ms", "alarm=10ms", "certificate=10ms", "--drain-grace", "8s")
-	f.until(func() bool { return f.try("GET", f.platform()+"/control/counts", nil, nil) })
-	f.process("fabric", append([]string{"standin", "fabric", "--documents", docs, "--platform", f.platform(),
-		"--control", f.helper(0, 3) + ":7400", "--links", filepath.Join(f.dir, "links.txt"), "--public"}, f.public()...)...)
-	f.until(func() bool {
-		return f.try("PUT", f.fabric()+"/faults", fabric.Faults{DelayMS: map[string]float64{"dc1": 1, "dc2": 1}, BetweenMS: 0.5}, nil)
+	f.awaitReady(func() bool { return f.tryRequest("GET", f.platformURL()+"/control/counts", nil, nil) })
+	f.startProcess("fabric", append([]string{"standin", "fabric", "--documents", docs, "--platform", f.platformURL(),
+		"--control", f.helperAddr(0, 3) + ":7400", "--links", filepath.Join(f.dir, "links.txt"), "--public"}, f.publicAddrs()...)...)
+	f.awaitReady(func() bool {
+		return f.tryRequest("PUT", f.fabricURL()+"/faults", fabric.Faults{DelayMS: map[string]float64{"dc1": 1, "dc2": 1}, BetweenMS: 0.5}, nil)
 	})
-	for id := range f.list {
-		f.instance(id)
+	for id := range f.instances {
+		f.startInstance(id)
 	}
-	for id, w := range f.list {
-		f.until(func() bool { return f.try("GET", "http://"+w[2]+":7200/v1/state", nil, nil) })
+	for id, fields := range f.instances {
+		f.awaitReady(func() bool { return f.tryRequest("GET", "http://"+fields[2]+":7200/v1/state", nil, nil) })
 		_ = id
 	}
-	time.Sleep(settle)
+	time.Sleep(discoveryTime)
 	return f
 }
 
-func (f *fleet) helper(a, b int) string { return fmt.Sprintf("127.%d.%d.%d", f.base+4, a, b) }
-func (f *fleet) platform() string       { return "http://" + f.helper(0, 1) + ":7300" }
-func (f *fleet) backend() string        { return "http://" + f.helper(0, 2) + ":7400" }
-func (f *fleet) fabric() string         { return "http://" + f.helper(0, 3) + ":7400" }
+func (f *fleet) helperAddr(group, host int) string {
+	return fmt.Sprintf("127.%d.%d.%d", f.firstNetwork+4, group, host)
+}
+func (f *fleet) platformURL() string { return "http://" + f.helperAddr(0, 1) + ":7300" }
+func (f *fleet) backendURL() string  { return "http://" + f.helperAddr(0, 2) + ":7400" }
+func (f *fleet) fabricURL() string   { return "http://" + f.helperAddr(0, 3) + ":7400" }
 
-func (f *fleet) public() []string {
-	return []string{fmt.Sprintf("dc1=127.%d.1.1", f.base+2), fmt.Sprintf("dc2=127.%d.2.1", f.base+2)}
+func (f *fleet) publicAddrs() []string {
+	return []string{fmt.Sprintf("dc1=127.%d.1.1", f.firstNetwork+2), fmt.Sprintf("dc2=127.%d.2.1", f.firstNetwork+2)}
 }
 
 // instance starts an instance and lists it.
-func (f *fleet) instance(id string) {
+func (f *fleet) startInstance(id string) {
 	f.t.Helper()
-	f.process(id, "arbutusdockd", filepath.Join(f.dir, "instances", id, "settings.toml"))
-	f.listed(id)
+	f.startProcess(id, "arbutusdockd", filepath.Join(f.dir, "instances", id, "settings.toml"))
+	f.addToList(id)
 }
 
-func (f *fleet) listed(id string) {
-	w := f.list[id]
-	f.send("PUT", f.platform()+"/control/instances/"+id, map[string]string{"data_centre": w[1], "caller_ip": w[2], "peer_addr": w[3]})
+func (f *fleet) addToList(id string) {
+	fields := f.instances[id]
+	f.mustRequest("PUT", f.platformURL()+"/control/instances/"+id, map[string]string{"data_centre": fields[1], "caller_ip": fields[2], "peer_addr": fields[3]})
 }
 
-func (f *fleet) unlisted(id string) { f.send("DELETE", f.platform()+"/control/instances/"+id, nil) }
+func (f *fleet) removeFromList(id string) {
+	f.mustRequest("DELETE", f.platformURL()+"/control/instances/"+id, nil)
+}
 
 // process starts a program whose output goes to a log file of the fleet.
-func (f *fleet) process(name string, args ...string) {
+func (f *fleet) startProcess(name string, args ...string) {
 	f.t.Helper()
 	log, err := os.OpenFile(filepath.Join(f.dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	assert.NilError(f.t, err)
 	c := exec.Command(filepath.Join(bin, args[0]), args[1:]...)
 	c.Stdout, c.Stderr = log, log
 	assert.NilError(f.t, c.Start())
-	ended := make(chan error, 1)
-	go func() { ended <- c.Wait() }()
-	f.procs[name], f.logs[name], f.ended[name] = c, log, ended
+	exit := make(chan error, 1)
+	go func() { exit <- c.Wait() }()
+	f.processes[name], f.logs[name], f.exits[name] = c, log, exit
 }
 
 func (f *fleet) signal(name string, s syscall.Signal) {
 	f.t.Helper()
-	assert.NilError(f.t, f.procs[name].Process.Signal(s))
+	assert.NilError(f.t, f.processes[name].Process.Signal(s))
 }
 
 // wait waits until a process has exited by itself.
-func (f *fleet) wait(name string) {
+func (f *fleet) awaitExit(name string) {
 	f.t.Helper()
 	select {
-	case err := <-f.ended[name]:
+	case err := <-f.exits[name]:
 		assert.NilError(f.t, err, "%s", name)
-	case <-time.After(exitTime):
-		f.t.Fatalf("%s has not exited within %s", name, exitTime)
+	case <-time.After(exitTimeout):
+		f.t.Fatalf("%s has not exited within %s", name, exitTimeout)
 	}
-	delete(f.procs, name)
+	delete(f.processes, name)
 }
 
 // stop ends the fleet's own processes. It keeps the logs of a failed test and
 // shows their ends.
 func (f *fleet) stop() {
-	for _, c := range f.procs {
+	for _, c := range f.processes {
 		_ = c.Process.Signal(syscall.SIGCONT)
 		_ = c.Process.Kill()
 	}
-	for name := range f.procs {
-		<-f.ended[name]
+	for name := range f.processes {
+		<-f.exits[name]
 	}
 	for name, log := range f.logs {
 		_ = log.Close()
@@ -213,26 +217,26 @@
 	}
 }
 
-func (f *fleet) tool(args ...string) {
+func (f *fleet) runTool(args ...string) {
 	f.t.Helper()
 	out, err := exec.Command(filepath.Join(bin, args[0]), args[1:]...).CombinedOutput()
 	assert.NilError(f.t, err, "%s: %s", strings.Join(args, " "), out)
 }
 
-func (f *fleet) event(name string) {
+func (f *fleet) recordEvent(name string) {
 	f.events = append(f.events, report.Event{At: time.Now().UnixMilli(), Name: name})
 }
 
-func (f *fleet) until(ok func() bool) {
+func (f *fleet) awaitReady(ready func() bool) {
 	f.t.Helper()
-	for end := time.Now().Add(readyTime); !ok(); time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(readyTimeout); !ready(); time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(end) {
 			f.t.Fatal("not ready in time")
 		}
 	}
 }
 
-func (f *fleet) try(method, url string, body, into any) bool {
+func (f *fleet) tryRequest(method, url string, body, response any) bool {
 	data, ok := body.([]byte)
 	if !ok {
 		data, _ = json.Marshal(body)
@@ -248,26 +252,26 @@
 		return false
 	}
 	defer func() { _ = resp.Body.Close() }()
-	if into != nil && json.NewDecoder(resp.Body).Decode(into) != nil {
+	if response != nil && json.NewDecoder(resp.Body).Decode(response) != nil {
 		return false
 	}
 	return resp.StatusCode == http.StatusOK
 }
 
-func (f *fleet) send(method, url string, body any) {
+func (f *fleet) mustRequest(method, url string, body any) {
 	f.t.Helper()
-	assert.Assert(f.t, f.try(method, url, body, nil), "%s %s", method, url)
+	assert.Assert(f.t, f.tryRequest(method, url, body, nil), "%s %s", method, url)
 }
 
 // load runs both users' mixes against the public addresses in the background
 // and returns how to wait for the verdict.
-func (f *fleet) load(d time.Duration, rate float64) (verdict func() report.Verdict) {
+func (f *fleet) startLoad(d time.Duration, rate float64) (verdict func() report.Verdict) {
 	f.t.Helper()
-	return f.loadFrom(caller.Options{Duration: d}, rate)
+	return f.startLoadWith(caller.Options{Duration: d}, rate)
 }
 
 // loadFrom is load by callers with other options than usual.
-func (f *fleet) loadFrom(opt caller.Options, rate float64) (verdict func() report.Verdict) {
+func (f *fleet) startLoadWith(opt caller.Options, rate float64) (verdict func() report.Verdict) {
 	f.t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	f.t.Cleanup(cancel)
@@ -277,24 +281,24 @@
 		assert.NilError(f.t, err)
 		opt.User, opt.Sources, opt.Feeds = user, sources, feeds
 		opt.Public = map[string]netip.Addr{
-			"dc1": netip.AddrFrom4([4]byte{127, byte(f.base + 2), 1, 1}), "dc2": netip.AddrFrom4([4]byte{127, byte(f.base + 2), 2, 1}),
+			"dc1": netip.AddrFrom4([4]byte{127, byte(f.firstNetwork + 2), 1, 1}), "dc2": netip.AddrFrom4([4]byte{127, byte(f.firstNetwork + 2), 2, 1}),
 		}
 		opt.Ports = map[string]uint16{"counter": 5701, "slip": 5702, "alarm": 5703, "certificate": 5704}
-		opt.Local = netip.AddrFrom4([4]byte{127, byte(f.base + 3), byte(i + 1), 1})
+		opt.Local = netip.AddrFrom4([4]byte{127, byte(f.firstNetwork + 3), byte(i + 1), 1})
 		opt.Callers, opt.Deadline, opt.Refresh, opt.Silence, opt.Zipf, opt.Seed = 6, 5*time.Second, 4*time.Second, 3*time.Second, 1.2, seed
 		c, err := caller.New(ctx, opt)
 		assert.NilError(f.t, err)
 		go func() { results <- c.Run(ctx) }()
 	}
 	return func() report.Verdict {
-		in := report.Input{Events: f.events, Callers: []wire.CallerResult{<-results, <-results}}
+		input := report.Input{Events: f.events, Callers: []wire.CallerResult{<-results, <-results}}
 		var counts wire.BackendCounts
-		assert.Assert(f.t, f.try("GET", f.backend()+"/counts", nil, &counts))
-		in.Backends = []wire.BackendCounts{counts}
-		v := report.Judge(in)
-		w := httptest.NewRecorder()
-		_ = report.Write(w, in, v)
-		f.t.Log("\n" + w.Body.String())
-		return v
+		assert.Assert(f.t, f.tryRequest("GET", f.backendURL()+"/counts", nil, &counts))
+		input.Backends = []wire.BackendCounts{counts}
+		result := report.Judge(input)
+		recorder := httptest.NewRecorder()
+		_ = report.Write(recorder, input, result)
+		f.t.Log("\n" + recorder.Body.String())
+		return result
 	}
 }
