--- a/e2e/blockwise_test.go
+++ b/e2e/blockwise_test.go
@@ -16,8 +16,8 @@
 )
 
 // Guards against a block-wise transfer that the default go-coap client cannot
-// complete, because the response comes separately or its blocks come from
-// different contents. A large certificate has 60 blocks.
+// complete because the response is a separate response or its blocks are from
+// different representations. A large certificate has 60 blocks.
 func TestDefaultClientFetchesLargeContent(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t)
--- a/e2e/e2e_test.go
+++ b/e2e/e2e_test.go
@@ -19,10 +19,11 @@
 )
 
 const (
-	// rate is the number of requests a second of each user.
+	// requestRate is the number of requests per second of each user.
 	requestRate = 60
-	// overloadRate has the six counter targets get 1.4 times what they can run:
-	// 850 requests a second, where each has two slots and takes 20 ms.
+	// overloadRequestRate gives the six counter targets 1.4 times the load that they
+	// can process: 850 requests per second, where each target has two slots and a
+	// request takes 20 ms.
 	overloadRequestRate = 1000
 )
 
@@ -31,8 +32,8 @@
 	assert.Assert(t, v.OK(), "%s\n%s", v.Line(), strings.Join(v.Details, "\n"))
 }
 
-// Guards against a crash that loses more than the feeds and unfinished
-// requests of the killed instance, or runs a claim twice.
+// Guards against a crash that affects more than the feeds and unfinished requests
+// of the killed instance, or that executes a non-idempotent request twice.
 func TestKill(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t)
@@ -59,14 +60,14 @@
 	assertInvariants(t, verdict())
 }
 
-// Guards against a paused instance that resumes with stale state and runs
-// requests again, or answers for others.
+// Guards against a paused instance that resumes with stale state and executes
+// requests again, or responds to requests of other instances.
 func TestPauseAndResume(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t)
 	verdict := f.startLoad(18*time.Second, requestRate)
 	time.Sleep(2 * time.Second)
-	f.recordEvent(report.Kill) // until it resumes, a paused instance is as good as killed
+	f.recordEvent(report.Kill) // until it resumes, a paused instance has the effect of a killed one
 	f.signal("dc1-2", syscall.SIGSTOP)
 	f.removeFromList("dc1-2")
 	time.Sleep(10 * time.Second)
@@ -76,8 +77,8 @@
 }
 
 // Guards against an accepted configuration that is lost while the platform is
-// down, rolled back when the platform returns with an older value, or unknown to
-// an instance that joins then.
+// down, rolled back when the platform comes back with an older value, or missing
+// in an instance that joins at that time.
 func TestPlatformDownAndStale(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t)
@@ -108,9 +109,9 @@
 	assert.Equal(t, after.Feeds, 0)
 }
 
-// Guards against an overload that rejects a request which another instance runs:
-// callers with the transmission parameters of RFC 7252 repeat nothing before the
-// instance that has their request has said so.
+// Guards against the rejection, under overload, of a request that another instance
+// executes. The callers use the transmission parameters of RFC 7252, so that they
+// retransmit nothing before the instance that has their request has responded.
 func TestOverload(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t)
@@ -126,15 +127,15 @@
 	return c.Targets[name]
 }
 
-// Guards against a data centre that does not serve on its own while it is cut
-// off from its callers, the platform and the other data centre, or against
-// damage when it is healed.
+// Guards against a data centre that cannot operate on its own while it is cut off
+// from its callers, the platform and the other data centre, and against failures
+// when the connections are restored.
 func TestDataCentreCutAndHealed(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t)
 	verdict := f.startLoad(14*time.Second, requestRate)
 	time.Sleep(2 * time.Second)
-	f.recordEvent(report.Kill) // callers of a data centre that is cut off lose it for the time
+	f.recordEvent(report.Kill) // callers of the cut-off data centre cannot reach it in the meantime
 	f.mustRequest("PUT", f.platformURL()+"/control/fault", platform.Fault{Listen: f.helperAddr(2, 1), Down: true})
 	f.mustRequest("PUT", f.fabricURL()+"/faults", fabric.Faults{CutDataCentres: []string{"dc2"}, SplitDataCentres: []string{"dc2"}})
 	time.Sleep(3 * time.Second)
@@ -144,8 +145,8 @@
 	assertInvariants(t, verdict())
 }
 
-// Guards against datagrams that are lost, come twice or out of order and cause
-// a second run, a wrong answer or a lost one.
+// Guards against lost, duplicated or reordered datagrams that cause a second
+// execution of a request, or a wrong or missing response.
 func TestLossDuplicatesAndReordering(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t)
@@ -153,20 +154,21 @@
 	assertInvariants(t, f.startLoad(8*time.Second, requestRate)())
 }
 
-// Guards against feeds that stay silent when their connection to the backend
-// server is silent while new ones work.
+// Guards against feeds that stay without notifications when the backend server no
+// longer sends on their existing registrations but accepts new ones.
 func TestSilentConnections(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t)
 	verdict := f.startLoad(12*time.Second, requestRate)
 	time.Sleep(2 * time.Second)
-	f.recordEvent(report.Kill) // a feed may fall silent once and must come back
+	f.recordEvent(report.Kill) // a feed may stop once and must be restored
 	f.mustRequest("PUT", f.backendURL()+"/control", backend.Control{Service: "alarm", Mute: true})
 	assertInvariants(t, verdict())
 }
 
-// Guards against health reports that outweigh the outcome of real requests, and
-// against a drain that breaks feeds or leaves work at the backend server.
+// Guards against false health reports that take precedence over the outcome of real
+// requests, and against a drain that breaks feeds or leaves work at the backend
+// server.
 func TestDrainAndLyingHealth(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t)
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -1,6 +1,7 @@
-// Package e2e runs real daemons as processes against the stand-ins, applies
-// one kind of fault to each fleet and asserts the promises with the counts of
-// the stand-ins.
+// Package e2e runs real daemons as processes with stand-ins for the callers, the
+// backend servers, the platform and the network fabric. Each test injects faults
+// into a fleet of its own and checks the guaranteed behaviour with the counts that
+// the stand-ins report.
 package e2e
 
 import (
@@ -28,13 +29,13 @@
 )
 
 const (
-	readyTimeout  = 20 * time.Second // for a fleet to be ready
-	discoveryTime = 2 * time.Second  // for the instances to find each other
+	readyTimeout  = 20 * time.Second // for a program of the fleet to be ready
+	discoveryTime = 2 * time.Second  // for the instances to discover each other
 	exitTimeout   = 15 * time.Second // for a planned stop
 	seed          = 1
 )
 
-// bin holds the programs, built once.
+// bin is the directory of the programs, which TestMain builds.
 var bin string
 
 func TestMain(m *testing.M) {
@@ -58,7 +59,7 @@
 	return m.Run()
 }
 
-// fleet is two data centres of three instances, with the stand-ins around them.
+// fleet is two data centres of three instances each, with the stand-ins.
 type fleet struct {
 	t            *testing.T
 	dir          string
@@ -66,12 +67,12 @@
 	processes    map[string]*exec.Cmd
 	logs         map[string]*os.File
 	exits        map[string]chan error
-	instances    map[string][]string // instances.txt by id
+	instances    map[string][]string // fields of the lines of instances.txt by instance ID
 	events       []report.Event
 }
 
-// networks takes five loopback networks that no other run on this machine uses
-// and returns the second byte of the first.
+// reserveNetworks reserves five loopback networks that no other run on this
+// machine uses and returns the second byte of the addresses of the first.
 func reserveNetworks(t *testing.T) int {
 	t.Helper()
 	for base := 100; base <= 245; base += 5 {
@@ -85,11 +86,12 @@
 	return 0
 }
 
-// fleets bounds the fleets that run at a time. Eight fleets of six daemons each
-// delayed responses beyond the retransmission time-out on a busy machine.
+// fleetSlots limits the fleets that run at the same time. With eight fleets of six
+// daemons each on a busy machine, responses took longer than the retransmission
+// time-out.
 var fleetSlots = make(chan struct{}, 3)
 
-// start runs a fleet.
+// startFleet starts the stand-ins and the instances and waits until they are ready.
 func startFleet(t *testing.T) *fleet {
 	t.Helper()
 	fleetSlots <- struct{}{}
@@ -148,7 +150,7 @@
 	return []string{fmt.Sprintf("dc1=127.%d.1.1", f.firstNetwork+2), fmt.Sprintf("dc2=127.%d.2.1", f.firstNetwork+2)}
 }
 
-// instance starts an instance and lists it.
+// startInstance starts an instance and adds it to the platform's list of instances.
 func (f *fleet) startInstance(id string) {
 	f.t.Helper()
 	f.startProcess(id, "arbutusdockd", filepath.Join(f.dir, "instances", id, "settings.toml"))
@@ -164,7 +166,7 @@
 	f.mustRequest("DELETE", f.platformURL()+"/control/instances/"+id, nil)
 }
 
-// process starts a program whose output goes to a log file of the fleet.
+// startProcess starts a program and writes its output to a log file of the fleet.
 func (f *fleet) startProcess(name string, args ...string) {
 	f.t.Helper()
 	log, err := os.OpenFile(filepath.Join(f.dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -182,7 +184,7 @@
 	assert.NilError(f.t, f.processes[name].Process.Signal(s))
 }
 
-// wait waits until a process has exited by itself.
+// awaitExit waits until a process has exited by itself.
 func (f *fleet) awaitExit(name string) {
 	f.t.Helper()
 	select {
@@ -194,8 +196,8 @@
 	delete(f.processes, name)
 }
 
-// stop ends the fleet's own processes. It keeps the logs of a failed test and
-// shows their ends.
+// stop ends the fleet's own processes. If the test failed, it keeps the log files
+// and logs the end of each.
 func (f *fleet) stop() {
 	for _, c := range f.processes {
 		_ = c.Process.Signal(syscall.SIGCONT)
@@ -231,7 +233,7 @@
 	f.t.Helper()
 	for end := time.Now().Add(readyTimeout); !ready(); time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(end) {
-			f.t.Fatal("not ready in time")
+			f.t.Fatal("a program of the fleet was not ready in time")
 		}
 	}
 }
@@ -263,14 +265,15 @@
 	assert.Assert(f.t, f.tryRequest(method, url, body, nil), "%s %s", method, url)
 }
 
-// load runs both users' mixes against the public addresses in the background
-// and returns how to wait for the verdict.
+// startLoad sends the request mixes of both users to the public addresses in the
+// background. The returned function waits for the end of the load and returns the
+// verdict.
 func (f *fleet) startLoad(d time.Duration, rate float64) (verdict func() report.Verdict) {
 	f.t.Helper()
 	return f.startLoadWith(caller.Options{Duration: d}, rate)
 }
 
-// loadFrom is load by callers with other options than usual.
+// startLoadWith is like startLoad, for callers with the options opt.
 func (f *fleet) startLoadWith(opt caller.Options, rate float64) (verdict func() report.Verdict) {
 	f.t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
--- a/e2e/soak_test.go
+++ b/e2e/soak_test.go
@@ -22,35 +22,36 @@
 )
 
 const (
-	defaultFaultTime = 12 * time.Second // of faults, in a run without settings
-	soakSettleTime   = 12 * time.Second // of load after the last fault; feeds that broke have to return in it
-	soakRequestRate  = 40               // requests a second of each user; 3 runs share the processors
-	maxFaultMS       = 4000             // milliseconds of a fault
-	markInterval     = 3 * time.Second  // between the events that cover a long fault; less than they excuse each
-	detectionTime    = time.Second      // until the platform lists a silent instance no longer
+	defaultFaultTime = 12 * time.Second // duration of faults without SOAK_TIME
+	soakSettleTime   = 12 * time.Second // of load after the last fault, in which broken feeds must be restored
+	soakRequestRate  = 40               // requests per second of each user; three runs share the processors
+	maxFaultMS       = 4000             // greatest duration of a fault
+	markInterval     = 3 * time.Second  // between the events that mark a long fault; shorter than the time for which each allows broken feeds
+	detectionTime    = time.Second      // until the platform removes an unresponsive instance from its list
 )
 
-// soak plays faults in a random order. They overlap; everything that a fault
-// does and undoes is run by one goroutine at its due time.
+// soak injects overlapping faults in a random order. One goroutine runs the tasks
+// that begin and end the faults, each at its due time.
 type soak struct {
 	*fleet
 	rng           *rand.Rand
-	tasks         []task // sorted
+	tasks         []task // sorted by due time
 	busy          map[string]bool
 	networkFaults fabric.Faults
-	// revision of the documents that a stale platform serves.
+	// staleRevision is the revision of the documents that a stale platform serves.
 	staleRevision uint64
 }
 
-// task is something to do at a time.
+// task is a function to run at its due time.
 type task struct {
 	due time.Time
 	run func()
 }
 
-// TestSoak plays the seeds of testdata/seeds.txt; SOAK_SEEDS=1-50 plays others,
-// SOAK_TIME=60s injects faults for longer. Guards against broken promises under
-// faults that come together, which the tests of single faults do not show.
+// TestSoak runs the seeds of testdata/seeds.txt. SOAK_SEEDS=1-50 selects others, and
+// SOAK_TIME=60s injects faults for longer. Guards against violations of the
+// guaranteed behaviour under simultaneous faults, which the tests of single faults do
+// not cover.
 func TestSoak(t *testing.T) {
 	length := soakoptions.Time(t, defaultFaultTime)
 	for _, n := range soakoptions.Seeds(t) {
@@ -66,7 +67,7 @@
 	}
 }
 
-// play injects faults until length is over, and waits until all are undone.
+// runFaults injects faults until length is over, and waits until all have ended.
 func (s *soak) runFaults(length time.Duration) {
 	end := time.Now().Add(length)
 	for at := time.Now().Add(time.Second); at.Before(end); at = at.Add(time.Duration(200+s.rng.IntN(1500)) * time.Millisecond) {
@@ -87,7 +88,8 @@
 
 func (s *soak) scheduleAfter(d time.Duration, do func()) { s.schedule(time.Now().Add(d), do) }
 
-// disturbed marks the time from now on, for d, as one in which feeds may break.
+// markDisturbed marks the time from now on, for d, as a time in which feeds may
+// break.
 func (s *soak) markDisturbed(d time.Duration, note string) {
 	end := time.Now().Add(d)
 	var mark func()
@@ -100,7 +102,7 @@
 	mark()
 }
 
-// inject begins one fault and schedules its end.
+// injectFault begins one random fault and schedules its end.
 func (s *soak) injectFault() {
 	d := time.Duration(200+s.rng.IntN(maxFaultMS)) * time.Millisecond
 	ids := slices.Sorted(maps.Keys(s.instances))
@@ -139,7 +141,8 @@
 	}
 }
 
-// once begins a fault of something that is not disturbed already.
+// beginUnlessBusy begins a fault of the named part of the system unless that part
+// already has one.
 func (s *soak) beginUnlessBusy(name string, begin func()) {
 	if !s.busy[name] {
 		s.busy[name] = true
@@ -147,7 +150,7 @@
 	}
 }
 
-// kill ends an instance without notice and starts it again.
+// kill ends an instance with SIGKILL and starts it again.
 func (s *soak) kill(id string, down time.Duration) {
 	s.markDisturbed(0, "kill "+id)
 	s.signal(id, syscall.SIGKILL)
@@ -161,7 +164,8 @@
 	s.busy[id] = false
 }
 
-// stop is a planned stop, which must end in time and cut nothing, and a start.
+// stop does a planned stop and starts the instance again. The stop must end within
+// exitTimeout and interrupt no request or feed.
 func (s *soak) stop(id string, down time.Duration) {
 	s.events = append(s.events, report.Event{At: time.Now().UnixMilli(), Name: report.StopBegin, Note: id})
 	s.signal(id, syscall.SIGTERM)
@@ -184,7 +188,8 @@
 	check()
 }
 
-// freeze pauses an instance, which is not listed for most of the time.
+// freeze suspends an instance for d. The platform does not list it from
+// detectionTime until it resumes.
 func (s *soak) freeze(id string, d time.Duration) {
 	s.markDisturbed(d, "freeze "+id)
 	s.signal(id, syscall.SIGSTOP)
@@ -198,7 +203,7 @@
 	})
 }
 
-// network changes the faults of the network for d.
+// faultNetwork changes the faults of the network for d.
 func (s *soak) faultNetwork(d time.Duration, name string, begin, end func(*fabric.Faults)) {
 	s.beginUnlessBusy(name, func() {
 		s.markDisturbed(d, name)
@@ -212,8 +217,8 @@
 	})
 }
 
-// platformFault takes the platform away, slows it down or lets it serve an old
-// state, for all instances or one data centre.
+// faultPlatform makes the platform unavailable, slow or stale, for all instances or
+// for one data centre.
 func (s *soak) faultPlatform(d time.Duration) {
 	listen := []string{"", s.helperAddr(1, 1), s.helperAddr(2, 1)}[s.rng.IntN(3)]
 	fault := []platform.Fault{{Down: true}, {SlowMS: 500}, {Stale: max(s.staleRevision, 1)}}[s.rng.IntN(3)]
@@ -229,8 +234,8 @@
 	})
 }
 
-// drainByDocument publishes that a target of the counters is drained, and takes
-// it back. The platform may be away; the change is then tried again.
+// drainByDocument publishes that a target of the counter service is draining, and
+// after d that it is not. The change is retried while the platform is unavailable.
 func (s *soak) drainByDocument(d time.Duration) {
 	doc, err := os.ReadFile(filepath.Join(s.dir, "documents", "service", "counter.toml"))
 	assert.NilError(s.t, err)
@@ -248,8 +253,8 @@
 	done()
 }
 
-// backendFault lets a backend server report a false state, start cold, or keep
-// its feeds open and silent.
+// faultBackend makes a backend server report a false health state, start cold, or
+// keep its feeds open without notifications.
 func (s *soak) faultBackend(d time.Duration) {
 	control := []backend.Control{
 		{Service: "counter", Target: "counter-1-1", Lie: "failing"},
