--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -29,7 +29,7 @@
 )
 
 const (
-	readyTimeout  = 20 * time.Second // for a program of the fleet to be ready
+	readyTimeout  = 20 * time.Second // for each program of the fleet to be ready
 	discoveryTime = 2 * time.Second  // for the instances to discover each other
 	exitTimeout   = 15 * time.Second // for a planned stop
 	seed          = 1
--- a/e2e/soak_test.go
+++ b/e2e/soak_test.go
@@ -25,7 +25,7 @@
 	defaultFaultTime = 12 * time.Second // duration of faults without SOAK_TIME
 	soakSettleTime   = 12 * time.Second // of load after the last fault, in which broken feeds must be restored
 	soakRequestRate  = 40               // requests per second of each user; three runs share the processors
-	maxFaultMS       = 4000             // greatest duration of a fault
+	maxFaultMS       = 4000             // the duration of a fault is random, 200 ms longer than a value below this
 	markInterval     = 3 * time.Second  // between the events that mark a long fault; shorter than the time for which each allows broken feeds
 	detectionTime    = time.Second      // until the platform removes an unresponsive instance from its list
 )
@@ -35,8 +35,8 @@
 type soak struct {
 	*fleet
 	rng           *rand.Rand
-	tasks         []task // sorted by due time
-	busy          map[string]bool
+	tasks         []task          // sorted by due time
+	busy          map[string]bool // parts of the system that have a fault
 	networkFaults fabric.Faults
 	// staleRevision is the revision of the documents that a stale platform serves.
 	staleRevision uint64
--- a/internal/proof/caller_test.go
+++ b/internal/proof/caller_test.go
@@ -39,35 +39,35 @@
 	service    ids.Service
 	dataCentre ids.DataCentre
 	caller     ids.Endpoint
-	host       string
+	host       string // Uri-Host, which selects the partner
 	executions int
 	tokenCount int
-	retries    int // after a 5.03 response
-	code       message.Code
+	retries    int          // after a 5.03 response
+	finalCode  message.Code // of the last final response
 }
 
 // exchange is one request of an operation with all its retransmissions.
 type exchange struct {
-	sim            *simulation
-	operation      *operation
-	index          int
-	messageID      uint16
-	echo           []byte
-	block          int
-	sent           ids.Time
-	transmissions  int // transmissions
-	acked          bool
-	lost           bool // one of its datagrams was lost
-	repeated       bool // one was duplicated or delayed, so that the request may be handled twice
-	handledBy      map[*node]ids.Incarnation
-	interrupted    bool // an instance that handled it was killed or paused
-	executions     int
-	reportedNotRun bool
-	response       *message.Message
-	responseAt     ids.Time
-	dispatchedTo   *server
-	events         []string // events
-	feed           *feed
+	sim                 *simulation
+	operation           *operation
+	index               int
+	messageID           uint16
+	echo                []byte
+	block               int
+	sent                ids.Time
+	transmissions       int
+	acknowledged        bool
+	lost                bool // one of its datagrams was lost
+	repeated            bool // one was duplicated or delayed, so that the request may be handled twice
+	handledBy           map[*node]ids.Incarnation
+	interrupted         bool // an instance that handled it was killed or paused
+	executions          int
+	reportedNotExecuted bool
+	response            *message.Message
+	responseAt          ids.Time
+	dispatchedTo        *server
+	events              []string
+	feed                *feed
 }
 
 func (x *exchange) recordHandler(n *node) {
@@ -154,7 +154,7 @@
 	id := x.messageID
 	if x.transmissions <= maxRetries {
 		x.sim.after(ackTimeout<<(x.transmissions-1), func() {
-			if x.response == nil && !x.acked && x.messageID == id {
+			if x.response == nil && !x.acknowledged && x.messageID == id {
 				x.transmit()
 			}
 		})
@@ -247,7 +247,7 @@
 func (x *exchange) receive(n *node, m *message.Message) {
 	if m.Code == message.Empty {
 		x.logEvent("acknowledged")
-		x.acked = x.acked || m.Type == message.Acknowledgement && m.ID == x.messageID
+		x.acknowledged = x.acknowledged || m.Type == message.Acknowledgement && m.ID == x.messageID
 		return
 	}
 	if m.Type == message.Confirmable {
@@ -269,7 +269,7 @@
 // exchange: it repeats the request with the Echo token, retries it after a 5.03
 // or requests the next block.
 func (op *operation) handleResponse(x *exchange, m *message.Message) {
-	op.code = m.Code
+	op.finalCode = m.Code
 	switch {
 	case m.Code == message.Unauthorized && op.tokenCount < maxTokens:
 		op.tokenCount++
--- a/internal/proof/cells_test.go
+++ b/internal/proof/cells_test.go
@@ -35,9 +35,9 @@
 	{name: "link cut", apply: func(s subject) { s.sim.cutLink(string(s.node.id), string(s.sim.localPeer(s.node).id), false) }},
 	{name: "link cut one way", apply: func(s subject) { s.sim.cutLink(string(s.node.id), string(s.sim.localPeer(s.node).id), true) }},
 	{name: "data centre cut off", apply: func(s subject) { s.sim.cutOffDataCentre(s.node.dc) }},
-	{name: "platform down", planned: true, apply: func(s subject) { s.sim.platform.down, s.sim.platformFault = true, s.sim.now }},
+	{name: "platform down", planned: true, apply: func(s subject) { s.sim.platform.down, s.sim.lastPlatformFault = true, s.sim.now }},
 	{name: "platform stale", planned: true, apply: func(s subject) {
-		s.sim.platform.staleAt, s.sim.platformFault = max(1, s.sim.platform.revision()-1), s.sim.now
+		s.sim.platform.staleAt, s.sim.lastPlatformFault = max(1, s.sim.platform.revision()-1), s.sim.now
 	}},
 	{name: "list stale", planned: true, apply: func(s subject) { s.sim.listMode = listWrong; s.sim.after(0, s.sim.sendLists) }},
 	{name: "datagram lost", requires: "datagram", apply: func(s subject) { s.sim.nextFate = lost }},
@@ -55,7 +55,7 @@
 // is none.
 func (sim *simulation) localPeer(n *node) *node {
 	for _, o := range sim.nodes {
-		if o != n && o.dc == n.dc && o.alive && !o.stopped {
+		if o != n && o.dc == n.dc && o.alive && !o.stopping {
 			return o
 		}
 	}
@@ -87,7 +87,7 @@
 	{group: "request", name: "token relayed", trigger: "token relayed", kind: post, needsRequest: true, prepare: sendPosts(20)},
 	{group: "request", name: "queued", trigger: "queued", kind: post, prepare: func(sim *simulation) {
 		for _, v := range sim.servers {
-			v.runTime = 300 * time.Millisecond
+			v.processingTime = 300 * time.Millisecond
 		}
 		for range 30 {
 			sim.newOperation(post, "counter", "a")
@@ -127,12 +127,12 @@
 		})
 	}},
 	{group: "join", name: "asking peers", trigger: "join asks peers", a3Killed: true, prepare: func(sim *simulation) { sim.join(sim.node("a3")) }},
-	{group: "join", name: "reading platform", trigger: "join reads platform", a3Killed: true, prepare: func(w *simulation) {
+	{group: "join", name: "reading platform", trigger: "join reads platform", a3Killed: true, prepare: func(sim *simulation) {
 		// No peer responds until the platform is read.
-		for _, o := range w.nodes {
-			w.cutLinks[[2]string{string(o.id), "a3"}], w.cutLinks[[2]string{"a3", string(o.id)}] = true, true
+		for _, o := range sim.nodes {
+			sim.cutLinks[[2]string{string(o.id), "a3"}], sim.cutLinks[[2]string{"a3", string(o.id)}] = true, true
 		}
-		w.join(w.node("a3"))
+		sim.join(sim.node("a3"))
 	}},
 }
 
@@ -145,7 +145,7 @@
 func (sim *simulation) feedHolder() *node {
 	for _, v := range sim.servers {
 		for _, r := range v.feeds {
-			if r.node.dc == "a" && r.node.alive && !r.node.stopped && r.node.core.Snapshot().Feeds > 0 {
+			if r.node.dc == "a" && r.node.alive && !r.node.stopping && r.node.core.Snapshot().Feeds > 0 {
 				return r.node
 			}
 		}
@@ -219,7 +219,7 @@
 func (sim *simulation) addFeedsOfStopping(feeds map[*feed]bool) {
 	for _, v := range sim.servers {
 		for _, r := range v.feeds {
-			if r.node.stopped {
+			if r.node.stopping {
 				feeds[r.exchange.feed] = true
 			}
 		}
--- a/internal/proof/faults_test.go
+++ b/internal/proof/faults_test.go
@@ -32,11 +32,11 @@
 
 // stop begins the planned stop of n.
 func (sim *simulation) stop(n *node) {
-	if !n.alive || n.stopped {
+	if !n.alive || n.stopping {
 		return
 	}
 	sim.recordEvent("stop %s", n.id)
-	n.stopped = true
+	n.stopping = true
 	if n.leftAt == 0 {
 		n.leftAt = sim.now
 	}
@@ -77,9 +77,9 @@
 		sim.cutLinks[[2]string{b, a}] = true
 	}
 	if a == platformID || b == platformID {
-		sim.platformFault = sim.now
+		sim.lastPlatformFault = sim.now
 	} else {
-		sim.linkFault = sim.now
+		sim.lastLinkFault = sim.now
 	}
 	sim.relaxFeedChecks()
 }
@@ -103,7 +103,7 @@
 // heal ends all faults of links, the platform and datagrams.
 func (sim *simulation) heal() {
 	if len(sim.cutLinks) > 0 || sim.platform.down || sim.platform.staleAt != 0 {
-		sim.linkFault, sim.platformFault = sim.now, sim.now
+		sim.lastLinkFault, sim.lastPlatformFault = sim.now, sim.now
 	}
 	clear(sim.cutLinks)
 	sim.platform.down, sim.platform.staleAt, sim.listMode = false, 0, listCurrent
@@ -115,7 +115,7 @@
 func (sim *simulation) restoreServers() {
 	for _, v := range sim.servers {
 		v.alive, v.silent, v.shedding, v.swapsMessageIDs, v.resetting, v.health = true, false, false, false, false, accurateHealth
-		v.runTime = 20 * time.Millisecond
+		v.processingTime = 20 * time.Millisecond
 		v.drain(false)
 	}
 }
--- a/internal/proof/matrix_test.go
+++ b/internal/proof/matrix_test.go
@@ -64,11 +64,11 @@
 	if c.result = c.notApplicable(); c.result != "" {
 		return
 	}
-	perCentre := 3
+	perDataCentre := 3
 	if len(c.faults) > 1 && (c.step.group == "handover" || c.step.name == "moving") {
-		perCentre = 4 // three instances may leave
+		perDataCentre = 4 // three instances may leave
 	}
-	sim := newSimulation(seed, perCentre)
+	sim := newSimulation(seed, perDataCentre)
 	sim.every(time.Second, sim.reregisterSilentFeeds)
 	planned := true
 	for _, f := range c.faults {
@@ -153,14 +153,14 @@
 // checkOtherServers checks that requests reach other backend servers while one
 // has a fault.
 func (c *cell) checkOtherServers(sim *simulation, service ids.Service) {
-	var list []*operation
+	var operations []*operation
 	for i := range 30 {
-		sim.after(time.Duration(i)*probeTime/60, func() { list = append(list, sim.newOperation(post, service, "a")) })
+		sim.after(time.Duration(i)*probeTime/60, func() { operations = append(operations, sim.newOperation(post, service, "a")) })
 	}
 	sim.advance(probeTime)
 	failed := 0
-	for _, op := range list {
-		if op.code != message.Content {
+	for _, op := range operations {
+		if op.finalCode != message.Content {
 			failed++
 		}
 	}
@@ -211,8 +211,8 @@
 	}
 	sim.advance(2 * time.Second)
 	for _, op := range last {
-		if op.code != message.Content {
-			sim.recordViolation("normal service has not resumed: operation %d got %v", op.index, op.code)
+		if op.finalCode != message.Content {
+			sim.recordViolation("normal service has not resumed: operation %d got %v", op.index, op.finalCode)
 		}
 	}
 	switch {
--- a/internal/proof/oracle_test.go
+++ b/internal/proof/oracle_test.go
@@ -49,7 +49,7 @@
 	if len(x.echo) == 0 {
 		x.sim.recordViolation("claim %d ran without a token", x.operation.index)
 	}
-	if x.reportedNotRun {
+	if x.reportedNotExecuted {
 		x.sim.recordViolation("claim %d (exchange %d) ran after its caller was told that it has not", x.operation.index, x.index)
 	}
 }
@@ -89,7 +89,7 @@
 			sim.recordViolation("exchange %d got block %v", x.index, m.Block2)
 		}
 	case message.ServiceUnavailable:
-		x.reportedNotRun = true
+		x.reportedNotExecuted = true
 		// A retransmission of an idempotent request may be rejected by an
 		// instance that did not handle the first transmission.
 		single := x.transmissions == 1 && !x.repeated
@@ -100,7 +100,7 @@
 		if x.operation.kind != post {
 			sim.recordViolation("exchange %d is idempotent and got 4.01", x.index)
 		}
-		x.reportedNotRun = len(x.echo) > 0
+		x.reportedNotExecuted = len(x.echo) > 0
 		if x.executions > 0 {
 			sim.recordViolation("claim %d ran and got 4.01%s", x.operation.index, x.operation.eventLog())
 		}
@@ -183,7 +183,7 @@
 			continue
 		}
 		p.checked = true
-		if sim.platformFault > p.publishedAt.Add(-platformRecovery) || sim.linkFault > p.publishedAt.Add(-linkRecovery) || len(sim.cutLinks) > 0 {
+		if sim.lastPlatformFault > p.publishedAt.Add(-platformRecovery) || sim.lastLinkFault > p.publishedAt.Add(-linkRecovery) || len(sim.cutLinks) > 0 {
 			continue
 		}
 		sim.stats.published++
@@ -221,7 +221,7 @@
 		x.sim.after(max(time.Second, time.Duration(m.MaxAge)*time.Second), f.reregister)
 		return
 	}
-	x.acked = true
+	x.acknowledged = true
 	x.response = m
 	if f.established && (m.Observe-f.observe)&0xffffff >= 1<<23 {
 		return // older, reordered by the network
@@ -244,7 +244,7 @@
 	}
 	x := f.exchange
 	x.messageID += 10_000
-	x.response, x.acked, x.transmissions = nil, false, 0
+	x.response, x.acknowledged, x.transmissions = nil, false, 0
 	x.transmit()
 }
 
--- a/internal/proof/platform_test.go
+++ b/internal/proof/platform_test.go
@@ -169,7 +169,7 @@
 	for i, n := range sim.nodes {
 		e := &core.InstancesEvent{}
 		for k, o := range sim.nodes {
-			entry := core.ListedInstance{ID: o.id, DataCentre: o.dc, PeerAddr: o.addr(), Leaving: o.stopped}
+			entry := core.ListedInstance{ID: o.id, DataCentre: o.dc, PeerAddr: o.addr(), Leaving: o.stopping}
 			if sim.listMode == listWrong {
 				if (i+k)%3 == 0 {
 					continue
--- a/internal/proof/random_test.go
+++ b/internal/proof/random_test.go
@@ -149,7 +149,7 @@
 				if drawBool("stale") {
 					m.platform.staleAt = max(1, m.platform.revision()-1)
 				}
-				m.platformFault = m.now
+				m.lastPlatformFault = m.now
 			},
 			"list":    func(rt *rapid.T) { m.listMode = listMode(drawInt("mode", 0, 1, 2)) },
 			"profile": m.profile,
@@ -181,7 +181,7 @@
 				case 8:
 					v.resetting = !v.resetting
 				case 5:
-					v.runTime = time.Duration(drawInt("run", 5, 100, 1500)) * time.Millisecond
+					v.processingTime = time.Duration(drawInt("run", 5, 100, 1500)) * time.Millisecond
 				default:
 					v.health = healthMode(drawInt("health", 0, 1, 2))
 					if v.health == accurateHealth && v.draining {
@@ -220,7 +220,7 @@
 				n := m.node(rt)
 				serving := 0
 				for _, o := range m.nodes {
-					if o.dc == n.dc && !o.stopped && o.lifecycle() == "serving" {
+					if o.dc == n.dc && !o.stopping && o.lifecycle() == "serving" {
 						serving++
 					}
 				}
--- a/internal/proof/server_test.go
+++ b/internal/proof/server_test.go
@@ -38,14 +38,14 @@
 	addr            ids.Endpoint
 	alive           bool
 	draining        bool
-	drainPublished  bool
+	drainPublished  bool // its published document says that it is draining
 	drainSince      ids.Time
 	health          healthMode
-	shedding        bool
+	shedding        bool // rejects requests with 5.03
 	silent          bool // executes requests but responds to none
 	resetting       bool // executes requests and responds with RST
 	swapsMessageIDs bool // swaps message IDs and repeats old responses
-	runTime         time.Duration
+	processingTime  time.Duration
 	jobs            map[jobKey]*job
 	feeds           []*registration
 	nextID          uint16
@@ -59,13 +59,13 @@
 
 // job is a request at a backend server.
 type job struct {
-	receivedAt ids.Time
-	request    *message.Message
-	exchange   *exchange
-	response   *message.Outgoing
-	acked      bool
-	cancelled  bool
-	confirmed  bool // the separate response was acknowledged
+	receivedAt   ids.Time
+	request      *message.Message
+	exchange     *exchange
+	response     *message.Outgoing
+	acknowledged bool
+	cancelled    bool
+	confirmed    bool // the separate response was acknowledged
 }
 
 // registration is the registration of a feed at a backend server.
@@ -82,27 +82,27 @@
 			for i := range targetsPerDataCentre {
 				sim.servers = append(sim.servers, &server{
 					sim: sim, service: name, target: ids.Target(fmt.Sprintf("%s-%d", dc, i)), dc: dc, alive: true,
-					addr:    netip.AddrPortFrom(netip.AddrFrom4([4]byte{198, 51, byte(10*d + s), byte(i + 1)}), 5683),
-					runTime: 20 * time.Millisecond, jobs: map[jobKey]*job{},
+					addr:           netip.AddrPortFrom(netip.AddrFrom4([4]byte{198, 51, byte(10*d + s), byte(i + 1)}), 5683),
+					processingTime: 20 * time.Millisecond, jobs: map[jobKey]*job{},
 				})
 			}
 		}
 	}
 }
 
-func (sim *simulation) serverAt(at ids.Endpoint) *server {
+func (sim *simulation) serverAt(addr ids.Endpoint) *server {
 	for _, v := range sim.servers {
-		if v.addr == at {
+		if v.addr == addr {
 			return v
 		}
 	}
 	return nil
 }
 
-func (sim *simulation) sendToBackend(n *node, at ids.Endpoint, m *message.Message) {
-	v := sim.serverAt(at)
+func (sim *simulation) sendToBackend(n *node, addr ids.Endpoint, m *message.Message) {
+	v := sim.serverAt(addr)
 	if v == nil {
-		sim.recordViolation("a datagram to %v, which is no backend server", at)
+		sim.recordViolation("a datagram to %v, which is no backend server", addr)
 		return
 	}
 	x := sim.exchangeOf(m)
@@ -184,24 +184,24 @@
 		return
 	}
 	if v.resetting {
-		v.sim.after(v.runTime, func() { v.respond(n, j, &message.Outgoing{Type: message.Reset, ID: j.request.ID}) })
+		v.sim.after(v.processingTime, func() { v.respond(n, j, &message.Outgoing{Type: message.Reset, ID: j.request.ID}) })
 		return
 	}
 	if j.exchange.operation.kind == download && j.exchange.block < lastBlockNumber {
 		response.Template = []byte{0x60, byte(message.Content), 0, 0, 0xd1, 10, byte(j.exchange.block)<<4 | 8 | 2}
 	}
-	duration := v.runTime
+	duration := v.processingTime
 	if j.exchange.operation.kind == longGet {
 		duration *= 20
 	}
 	if duration > time.Second && response.Type == message.Acknowledgement {
 		v.sim.after(time.Second, func() {
-			j.acked = true
+			j.acknowledged = true
 			v.respond(n, j, &message.Outgoing{Type: message.Acknowledgement, ID: j.request.ID})
 		})
 	}
 	v.sim.after(duration, func() {
-		if j.acked {
+		if j.acknowledged {
 			v.nextID++
 			response.Type, response.ID = message.Confirmable, v.nextID
 			v.sim.after(2*time.Second, func() {
@@ -223,9 +223,9 @@
 		v.sim.after(time.Duration(v.sim.rng.IntN(10_000))*time.Millisecond, func() { v.send(n, j, o) })
 		for k, other := range v.sortedJobs() {
 			if k != j.request.ID && other.response == nil && o.Type == message.Acknowledgement {
-				crossed := *o
-				crossed.ID = k
-				v.send(n, j, &crossed)
+				swapped := *o
+				swapped.ID = k
+				v.send(n, j, &swapped)
 				return
 			}
 		}
--- a/internal/proof/world_test.go
+++ b/internal/proof/world_test.go
@@ -43,7 +43,7 @@
 	inbox       []func()
 	skew        time.Duration // of its clock
 	leftAt      ids.Time      // time of the planned stop, kill or exit; 0 while it runs
-	stopped     bool          // a planned stop has begun
+	stopping    bool          // a planned stop has begun
 	startedAt   ids.Time
 	watch       *read // pending read of the platform
 
@@ -64,6 +64,7 @@
 	delayed
 )
 
+// sample is the state of an instance at one time.
 type sample struct {
 	sampledAt ids.Time
 	revision  ids.Revision
@@ -108,11 +109,11 @@
 	listMode   listMode
 	// Times when a fault of a link or the platform last began or ended; 0 before
 	// the first.
-	linkFault, platformFault ids.Time
-	stats                    stats
+	lastLinkFault, lastPlatformFault ids.Time
+	stats                            stats
 }
 
-func newSimulation(seed uint64, perCentre int) *simulation {
+func newSimulation(seed uint64, perDataCentre int) *simulation {
 	keys, err := admission.NewKeyring(1, map[uint8][]byte{1: []byte("0123456789abcdef")})
 	if err != nil {
 		panic(err) // the key is a constant
@@ -122,10 +123,10 @@
 	sim.platform.sim = sim
 	sim.createServers()
 	sim.publishDocuments()
-	for i := range len(dataCentres) * perCentre {
-		n := &node{sim: sim, dc: dataCentres[i/perCentre], index: i}
-		n.id = ids.Instance(fmt.Sprintf("%s%d", n.dc, i%perCentre+1))
-		if i%perCentre == 1 { // one clock in each data centre is wrong by up to two minutes
+	for i := range len(dataCentres) * perDataCentre {
+		n := &node{sim: sim, dc: dataCentres[i/perDataCentre], index: i}
+		n.id = ids.Instance(fmt.Sprintf("%s%d", n.dc, i%perDataCentre+1))
+		if i%perDataCentre == 1 { // one clock in each data centre is wrong by up to two minutes
 			n.skew = time.Duration(sim.rng.IntN(240)-120) * time.Second
 		}
 		sim.nodes = append(sim.nodes, n)
@@ -137,7 +138,7 @@
 	sim.every(time.Second, sim.sendNotifications)
 	sim.every(5*time.Second, sim.sendLists)
 	sim.advance(8 * time.Second)
-	sim.linkFault, sim.platformFault = 0, 0
+	sim.lastLinkFault, sim.lastPlatformFault = 0, 0
 	return sim
 }
 
@@ -151,7 +152,7 @@
 		}
 	}
 	n.incarnation, n.core = sim.lastIncarnation, core.New(self, sim.keys, sim.rng.Uint64())
-	n.alive, n.paused, n.inbox, n.leftAt, n.stopped = true, false, nil, 0, false
+	n.alive, n.paused, n.inbox, n.leftAt, n.stopping = true, false, nil, 0, false
 	n.startedAt, n.watch, n.revisions, n.serving = sim.now, nil, nil, false
 	sim.scheduleTick(n, n.incarnation)
 }
--- a/soak/fleet_test.go
+++ b/soak/fleet_test.go
@@ -77,7 +77,7 @@
 
 	cmd             *exec.Cmd
 	ended           chan struct{} // closed when the process has ended
-	starts          int           // number of starts
+	starts          int
 	failedProbes    int
 	inRotation      bool      // the fabric selects it for packets
 	down            bool      // killed or paused
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -11,12 +11,12 @@
 type proxyMode int32
 
 const (
-	passAll   proxyMode = iota
-	slow                // each read is delayed by slowDelay
-	refuse              // connections are reset, and new ones closed at once
-	silent              // no data is forwarded, and no connection is closed
-	oneWay              // only data of the dialling side is forwarded
-	modeCount           // number of modes
+	passAll   proxyMode = iota // all data is forwarded
+	slow                       // each read is delayed by slowDelay
+	refuse                     // connections are reset, and new ones closed at once
+	silent                     // no data is forwarded, and no connection is closed
+	oneWay                     // only data of the dialling side is forwarded
+	modeCount                  // number of modes
 )
 
 // slowDelay is the delay of a slow proxy in each direction.
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -54,7 +54,7 @@
 type server struct {
 	*platformtest.Target
 	drainedAt      time.Time // when the store accepted its draining state; zero before
-	disturbedUntil time.Time // end of the last disturbance; never once it is closed
+	disturbedUntil time.Time // end of the last disturbance; after the end of the run once it is closed
 	removedAt      time.Time // when a crashed server was deleted from the store
 }
 
@@ -62,7 +62,7 @@
 type soak struct {
 	*fleet
 	seed           uint64
-	requestTimeout time.Duration // as the constants
+	requestTimeout time.Duration // of a request
 	faultRNG       *rand.Rand    // selects the faults; used by one goroutine
 	loadEnd        time.Time     // when the load ends
 	callers        map[string]*platformtest.Caller
@@ -78,8 +78,8 @@
 	failures         []string
 }
 
-// never is a duration that lasts beyond the end of any run.
-const never = 24 * time.Hour
+// beyondRun is a duration that lasts beyond the end of any run.
+const beyondRun = 24 * time.Hour
 
 func (s *soak) violation(format string, args ...any) {
 	s.mu.Lock()
@@ -381,7 +381,7 @@
 	sv.drainedAt = time.Now()
 	s.mu.Unlock()
 	time.Sleep(drainServeTime + applyWithin)
-	s.disturbServer(sv, never)
+	s.disturbServer(sv, beyondRun)
 	s.store.DeleteTarget(sv.Target)
 	sv.Close()
 }
@@ -389,7 +389,7 @@
 // failServer makes a server unresponsive for a second, or closes it for good and
 // starts a replacement.
 func (s *soak) failServer(sv *server, crash bool) {
-	s.disturbServer(sv, never)
+	s.disturbServer(sv, beyondRun)
 	if !crash {
 		sv.SetSilent(true)
 		time.Sleep(time.Second)
