--- a/internal/proof/caller_test.go
+++ b/internal/proof/caller_test.go
@@ -17,7 +17,7 @@
 
 const (
 	get      kind = iota // idempotent
-	post                 // non-idempotent
+	post                 // non-idempotent; a claim in the messages of violations
 	longGet              // idempotent, takes 20 times as long as the others
 	download             // idempotent, three blocks
 	observe              // opens a feed: an observation as in RFC 7641
@@ -54,7 +54,7 @@
 	messageID           uint16
 	echo                []byte
 	block               int
-	sent                ids.Time
+	sentAt              ids.Time
 	transmissions       int
 	acknowledged        bool
 	lost                bool // one of its datagrams was lost
@@ -147,7 +147,7 @@
 // transmit sends the request and retransmits it until it is acknowledged.
 func (x *exchange) transmit() {
 	if x.transmissions == 0 {
-		x.sent = x.sim.now
+		x.sentAt = x.sim.now
 	}
 	x.transmissions++
 	x.deliver(x.encodeRequest())
@@ -184,7 +184,7 @@
 			x.logEvent("received by %s", n.id)
 			sim.stepReached("received", n, x)
 		}
-		sim.call(n, func(c *core.Core, out *core.Effects) {
+		sim.callCore(n, func(c *core.Core, out *core.Effects) {
 			before := c.Counts().UnknownService
 			c.HandleCaller(n.now(), &core.CallerEvent{Service: x.operation.service, Caller: x.operation.caller, Message: m}, out)
 			if c.Counts().UnknownService > before {
--- a/internal/proof/cells_test.go
+++ b/internal/proof/cells_test.go
@@ -200,8 +200,8 @@
 	return other
 }
 
-// affected returns the feeds that faults of the subjects may break.
-func (sim *simulation) affected(subjects []subject) map[*feed]bool {
+// affectedFeeds returns the feeds that faults of the subjects may break.
+func (sim *simulation) affectedFeeds(subjects []subject) map[*feed]bool {
 	feeds := map[*feed]bool{}
 	for _, v := range sim.servers {
 		for _, r := range v.feeds {
--- a/internal/proof/faults_test.go
+++ b/internal/proof/faults_test.go
@@ -27,7 +27,7 @@
 		return
 	}
 	sim.recordEvent("join %s", n.id)
-	sim.start(n)
+	sim.startProcess(n)
 }
 
 // stop begins the planned stop of n.
@@ -40,7 +40,7 @@
 	if n.leftAt == 0 {
 		n.leftAt = sim.now
 	}
-	sim.call(n, func(c *core.Core, out *core.Effects) { c.Stop(n.now(), out) })
+	sim.callCore(n, func(c *core.Core, out *core.Effects) { c.Stop(n.now(), out) })
 }
 
 // pause suspends the process of n and resumes it after d.
--- a/internal/proof/matrix_test.go
+++ b/internal/proof/matrix_test.go
@@ -97,7 +97,7 @@
 		if len(c.faults) > 1 {
 			subjects = append(subjects, s.secondSubject())
 		}
-		affected = sim.affected(subjects)
+		affected = sim.affectedFeeds(subjects)
 		if c.step.group == "handover" || c.step.name == "moving" {
 			// A feed that is being handed over may be registered at a backend
 			// server that fails now.
--- a/internal/proof/oracle_test.go
+++ b/internal/proof/oracle_test.go
@@ -123,11 +123,11 @@
 // checkFinalResponses checks that every request got its final response in time.
 func (sim *simulation) checkFinalResponses() {
 	for _, x := range sim.exchanges {
-		if x.feed != nil || x.interrupted || x.lost || sim.now.Sub(x.sent) < responseBound {
+		if x.feed != nil || x.interrupted || x.lost || sim.now.Sub(x.sentAt) < responseBound {
 			continue
 		}
 		if x.response == nil {
-			sim.recordViolation("exchange %d of kind %d, sent at %v, got no response%s", x.index, x.operation.kind, x.sent.Sub(epoch), x.operation.eventLog())
+			sim.recordViolation("exchange %d of kind %d, sent at %v, got no response%s", x.index, x.operation.kind, x.sentAt.Sub(epoch), x.operation.eventLog())
 		}
 	}
 }
--- a/internal/proof/platform_test.go
+++ b/internal/proof/platform_test.go
@@ -68,7 +68,7 @@
 	waiting := p.waiting
 	p.waiting = nil
 	for _, r := range waiting {
-		p.sim.after(time.Millisecond, func() { p.respond(r) })
+		p.sim.after(time.Millisecond, func() { p.completeRead(r) })
 	}
 	return r
 }
@@ -83,32 +83,32 @@
 		p.sim.stepReached("join reads platform", n, nil)
 	}
 	if p.down || p.disconnected(n) {
-		p.sim.after(500*time.Millisecond, func() { p.fail(r) })
+		p.sim.after(500*time.Millisecond, func() { p.failRead(r) })
 		return
 	}
 	if watch && p.revision() <= after {
 		p.waiting = append(p.waiting, r)
-		p.sim.after(watchWait, func() { p.respond(r) })
+		p.sim.after(watchWait, func() { p.completeRead(r) })
 		return
 	}
-	p.sim.after(readDelay, func() { p.respond(r) })
+	p.sim.after(readDelay, func() { p.completeRead(r) })
 }
 
-func (p *platform) fail(r *read) {
+func (p *platform) failRead(r *read) {
 	if !r.done && r.node.incarnation == r.incarnation {
 		r.done = true
-		p.sim.call(r.node, func(c *core.Core, out *core.Effects) {
+		p.sim.callCore(r.node, func(c *core.Core, out *core.Effects) {
 			c.HandleConfig(r.node.now(), &core.ConfigEvent{Err: errors.New("platform unreachable")}, out)
 		})
 	}
 }
 
-func (p *platform) respond(r *read) {
+func (p *platform) completeRead(r *read) {
 	if r.done || r.node.incarnation != r.incarnation {
 		return
 	}
 	if p.down || p.disconnected(r.node) {
-		p.sim.after(500*time.Millisecond, func() { p.fail(r) })
+		p.sim.after(500*time.Millisecond, func() { p.failRead(r) })
 		return
 	}
 	r.done = true
@@ -129,7 +129,7 @@
 		latest[d.Key] = len(e.Documents)
 		e.Documents = append(e.Documents, d)
 	}
-	p.sim.call(r.node, func(c *core.Core, out *core.Effects) { c.HandleConfig(r.node.now(), e, out) })
+	p.sim.callCore(r.node, func(c *core.Core, out *core.Effects) { c.HandleConfig(r.node.now(), e, out) })
 }
 
 // services lists the services of the simulation.
@@ -181,7 +181,7 @@
 			e.Instances = append(e.Instances, entry)
 		}
 		if !sim.platform.disconnected(n) {
-			sim.call(n, func(c *core.Core, out *core.Effects) { c.HandleInstances(n.now(), e, out) })
+			sim.callCore(n, func(c *core.Core, out *core.Effects) { c.HandleInstances(n.now(), e, out) })
 		}
 	}
 }
--- a/internal/proof/random_test.go
+++ b/internal/proof/random_test.go
@@ -23,15 +23,15 @@
 	*simulation
 }
 
-func (m *model) node(rt *rapid.T) *node {
+func (m *model) drawNode(rt *rapid.T) *node {
 	return m.nodes[rapid.IntRange(0, len(m.nodes)-1).Draw(rt, "node")]
 }
 
-func (m *model) server(rt *rapid.T) *server {
+func (m *model) drawServer(rt *rapid.T) *server {
 	return m.servers[rapid.IntRange(0, len(m.servers)-1).Draw(rt, "server")]
 }
 
-func (m *model) wait(rt *rapid.T) {
+func (m *model) drawWait(rt *rapid.T) {
 	m.advance(time.Duration(rapid.SampledFrom([]int{0, 5, 50, 500, 500, 3000, 8000}).Draw(rt, "wait")) * time.Millisecond)
 }
 
@@ -41,7 +41,7 @@
 	}
 }
 
-func (m *model) requests(rt *rapid.T) {
+func (m *model) sendRequests(rt *rapid.T) {
 	for range rapid.SampledFrom([]int{1, 3, 40}).Draw(rt, "burst") {
 		k := rapid.SampledFrom([]kind{get, get, post, post, post, longGet, download}).Draw(rt, "kind")
 		m.newOperation(k, rapid.SampledFrom(services).Draw(rt, "service"), rapid.SampledFrom(dataCentres).Draw(rt, "dc"))
@@ -63,7 +63,7 @@
 	}
 }
 
-func (m *model) profile(rt *rapid.T) {
+func (m *model) publishProfile(rt *rapid.T) {
 	service := rapid.SampledFrom(services).Draw(rt, "service")
 	m.platform.publish("profile/p-"+string(service), profileText(rapid.IntRange(1, 9).Draw(rt, "weight"), 4000), true)
 }
@@ -109,15 +109,15 @@
 		drawBool := func(label string) bool { return rapid.Bool().Draw(rt, label) }
 		rt.Repeat(map[string]func(*rapid.T){
 			"":         m.verify,
-			"requests": m.requests,
-			"more":     m.requests,
+			"requests": m.sendRequests,
+			"more":     m.sendRequests,
 			"feed":     m.openFeed,
-			"wait":     m.wait,
+			"wait":     m.drawWait,
 			"repeat": func(rt *rapid.T) {
 				for range 3 {
 					if len(m.exchanges) > 0 {
 						x := m.exchanges[rapid.IntRange(max(0, len(m.exchanges)-20), len(m.exchanges)-1).Draw(rt, "exchange")]
-						n := m.node(rt)
+						n := m.drawNode(rt)
 						if n.dc == x.operation.dataCentre {
 							m.redeliver(x, n)
 						}
@@ -128,19 +128,19 @@
 				m.lossPercent, m.duplicatePercent, m.delayPercent = drawInt("loss", 0, 0, 0, 5, 20), drawInt("double", 0, 0, 20), drawInt("late", 0, 0, 10)
 				m.relaxFeedChecks()
 			},
-			"kill":  func(rt *rapid.T) { m.kill(m.node(rt)) },
-			"join":  func(rt *rapid.T) { m.join(m.node(rt)) },
-			"join2": func(rt *rapid.T) { m.join(m.node(rt)) },
-			"stop":  func(rt *rapid.T) { m.stop(m.node(rt)) },
+			"kill":  func(rt *rapid.T) { m.kill(m.drawNode(rt)) },
+			"join":  func(rt *rapid.T) { m.join(m.drawNode(rt)) },
+			"join2": func(rt *rapid.T) { m.join(m.drawNode(rt)) },
+			"stop":  func(rt *rapid.T) { m.stop(m.drawNode(rt)) },
 			"pause": func(rt *rapid.T) {
-				m.pause(m.node(rt), time.Duration(drawInt("ms", 300, 1500, 4000, 9000))*time.Millisecond)
+				m.pause(m.drawNode(rt), time.Duration(drawInt("ms", 300, 1500, 4000, 9000))*time.Millisecond)
 			},
 			"cut": func(rt *rapid.T) {
-				to := string(m.node(rt).id)
+				to := string(m.drawNode(rt).id)
 				if drawBool("platform") {
 					to = platformID
 				}
-				m.cutLink(string(m.node(rt).id), to, drawBool("one way"))
+				m.cutLink(string(m.drawNode(rt).id), to, drawBool("one way"))
 			},
 			"cut centre": func(rt *rapid.T) { m.cutOffDataCentre(rapid.SampledFrom(dataCentres).Draw(rt, "dc")) },
 			"heal":       func(rt *rapid.T) { m.heal() },
@@ -152,12 +152,12 @@
 				m.lastPlatformFault = m.now
 			},
 			"list":    func(rt *rapid.T) { m.listMode = listMode(drawInt("mode", 0, 1, 2)) },
-			"profile": m.profile,
+			"profile": m.publishProfile,
 			"bad document": func(rt *rapid.T) {
 				m.platform.publish("service/counter", "port = 0\nprofile = 3\n[[target]]\nname = \"x\"\n", false)
 			},
 			"drain": func(rt *rapid.T) {
-				v := m.server(rt)
+				v := m.drawServer(rt)
 				if drawBool("document") && !m.platform.down && m.platform.staleAt == 0 {
 					m.publishDrain(v, !v.draining)
 				} else if !v.drainPublished {
@@ -165,7 +165,7 @@
 				}
 			},
 			"backend": func(rt *rapid.T) {
-				v := m.server(rt)
+				v := m.drawServer(rt)
 				m.relaxFeedChecks()
 				switch drawInt("fault", 0, 1, 2, 3, 4, 5, 6, 7, 8) {
 				case 0:
@@ -213,11 +213,11 @@
 		}
 		rt.Repeat(map[string]func(*rapid.T){
 			"":         m.verify,
-			"requests": m.requests,
-			"wait":     m.wait,
-			"profile":  m.profile,
+			"requests": m.sendRequests,
+			"wait":     m.drawWait,
+			"profile":  m.publishProfile,
 			"stop": func(rt *rapid.T) {
-				n := m.node(rt)
+				n := m.drawNode(rt)
 				serving := 0
 				for _, o := range m.nodes {
 					if o.dc == n.dc && !o.stopping && o.lifecycle() == "serving" {
@@ -228,9 +228,9 @@
 					m.stop(n)
 				}
 			},
-			"join": func(rt *rapid.T) { m.join(m.node(rt)) },
+			"join": func(rt *rapid.T) { m.join(m.drawNode(rt)) },
 			"drain": func(rt *rapid.T) {
-				v := m.server(rt)
+				v := m.drawServer(rt)
 				alternatives := 0
 				for _, o := range m.servers {
 					if o.dc == v.dc && o.service == v.service && !o.draining && o != v {
--- a/internal/proof/server_test.go
+++ b/internal/proof/server_test.go
@@ -260,7 +260,7 @@
 }
 
 func (sim *simulation) deliverFromBackend(n *node, v *server, m *message.Message) {
-	sim.call(n, func(c *core.Core, out *core.Effects) {
+	sim.callCore(n, func(c *core.Core, out *core.Effects) {
 		c.HandleBackend(n.now(), &core.BackendEvent{From: v.addr, Message: m}, out)
 	})
 }
@@ -361,7 +361,7 @@
 			e.Healthy = false
 		}
 		if n.incarnation == incarnation {
-			sim.call(n, func(c *core.Core, out *core.Effects) { c.HandleHealth(n.now(), e, out) })
+			sim.callCore(n, func(c *core.Core, out *core.Effects) { c.HandleHealth(n.now(), e, out) })
 		}
 	})
 }
--- a/internal/proof/world_test.go
+++ b/internal/proof/world_test.go
@@ -132,7 +132,7 @@
 		sim.nodes = append(sim.nodes, n)
 	}
 	for _, n := range sim.nodes {
-		sim.start(n)
+		sim.startProcess(n)
 	}
 	sim.every(500*time.Millisecond, sim.sampleRevisions)
 	sim.every(time.Second, sim.sendNotifications)
@@ -142,8 +142,8 @@
 	return sim
 }
 
-// start runs a new process of n.
-func (sim *simulation) start(n *node) {
+// startProcess starts a new process of n.
+func (sim *simulation) startProcess(n *node) {
 	sim.lastIncarnation++
 	self := core.Self{ID: n.id, Incarnation: sim.lastIncarnation, DataCentre: n.dc, PeerAddr: n.addr(), Linger: lingerTime}
 	for _, o := range sim.nodes {
@@ -163,7 +163,7 @@
 			return
 		}
 		if !n.paused {
-			sim.call(n, func(c *core.Core, out *core.Effects) { c.Tick(n.now(), out) })
+			sim.callCore(n, func(c *core.Core, out *core.Effects) { c.Tick(n.now(), out) })
 		}
 		sim.scheduleTick(n, incarnation)
 	})
@@ -206,9 +206,9 @@
 	}
 }
 
-// call calls the core of n and carries out the effects. Calls to a paused process
-// wait in its inbox until it resumes.
-func (sim *simulation) call(n *node, f func(*core.Core, *core.Effects)) {
+// callCore calls the core of n and carries out the effects. Calls to a paused
+// process wait in its inbox until it resumes.
+func (sim *simulation) callCore(n *node, f func(*core.Core, *core.Effects)) {
 	if !n.alive {
 		return
 	}
@@ -217,7 +217,7 @@
 			incarnation := n.incarnation
 			n.inbox = append(n.inbox, func() {
 				if n.incarnation == incarnation {
-					sim.call(n, f)
+					sim.callCore(n, f)
 				}
 			})
 		}
@@ -331,7 +331,7 @@
 				x.recordHandler(receiver)
 			}
 		}
-		sim.call(receiver, func(c *core.Core, out *core.Effects) { c.HandlePeer(receiver.now(), e, out) })
+		sim.callCore(receiver, func(c *core.Core, out *core.Effects) { c.HandlePeer(receiver.now(), e, out) })
 	})
 }
 
