--- a/internal/proof/oracle_test.go
+++ b/internal/proof/oracle_test.go
@@ -204,7 +204,7 @@
 	uninterrupted    bool // a break or a long gap is a violation, as there were only planned changes
 	breaks           int
 	maxGap           time.Duration
-	ended            bool
+	ended            bool // the feed is not registered again
 }
 
 func (f *feed) receive(m *message.Message) {
--- a/internal/proof/platform_test.go
+++ b/internal/proof/platform_test.go
@@ -46,7 +46,7 @@
 type read struct {
 	node        *node
 	incarnation ids.Incarnation
-	after       ids.Revision
+	after       ids.Revision // only documents with a greater revision are returned
 	done        bool
 }
 
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -71,7 +71,7 @@
 	servers          map[string]*server // by ID
 	lastServerNumber uint32
 	latestVersion    int
-	acknowledgedAt   map[int]time.Time // by version
+	acknowledgedAt   map[int]time.Time // when the store accepted each version
 	servedCount      map[string]int
 	resetCount       int // resets of open flows
 	timeoutCount     int // requests on open flows without a response in time
@@ -129,12 +129,12 @@
 }
 
 // newSoak starts a fleet with its backend servers and callers.
-func newSoak(t *testing.T, seed uint64, instances int, budget time.Duration) *soak {
-	s := &soak{fleet: newFleet(t, seed, instances), seed: seed, requestTimeout: budget, faultRNG: rand.New(rand.NewPCG(seed, 1)), callers: map[string]*platformtest.Caller{},
+func newSoak(t *testing.T, seed uint64, instances int, requestTimeout time.Duration) *soak {
+	s := &soak{fleet: newFleet(t, seed, instances), seed: seed, requestTimeout: requestTimeout, faultRNG: rand.New(rand.NewPCG(seed, 1)), callers: map[string]*platformtest.Caller{},
 		servers: map[string]*server{}, lastServerNumber: uint32(seed) << 8, acknowledgedAt: map[int]time.Time{}, servedCount: map[string]int{}}
-	for _, sv := range services {
+	for _, svc := range services {
 		for n := range 4 {
-			s.addServer(sv.name, []string{"a", "b"}[n%2])
+			s.addServer(svc.name, []string{"a", "b"}[n%2])
 		}
 	}
 	s.publish()
@@ -211,8 +211,8 @@
 	version := s.latestVersion
 	s.mu.Unlock()
 	routes := []platformtest.Route{}
-	for _, sv := range services {
-		routes = append(routes, platformtest.Route{IP: sv.address.Addr().String(), Port: int(sv.address.Port()), Service: sv.name, Kind: sv.kind})
+	for _, svc := range services {
+		routes = append(routes, platformtest.Route{IP: svc.address.Addr().String(), Port: int(svc.address.Port()), Service: svc.name, Kind: svc.kind})
 	}
 	at := versionRouteAddress(version)
 	routes = append(routes, platformtest.Route{IP: at.Addr().String(), Port: int(at.Port()), Service: "slips", Kind: "safe"})
@@ -418,29 +418,29 @@
 	s.setLossRate(0)
 }
 
-func (s *soak) setLossRate(share float64) {
+func (s *soak) setLossRate(rate float64) {
 	s.fleet.mu.Lock()
 	defer s.fleet.mu.Unlock()
-	s.lossRate = share
+	s.lossRate = rate
 }
 
 // checkEnd checks after the run that every service has served requests, that no
 // packet was delivered to the wrong flow and that no request ran twice.
 func (s *soak) checkEnd() {
 	for dc, c := range s.callers {
-		if crossed := c.Misdelivered(); crossed > 0 {
-			s.violation("callers of %s got %d packets of others, or changed ones", dc, crossed)
+		if misdelivered := c.Misdelivered(); misdelivered > 0 {
+			s.violation("callers of %s got %d packets of others, or changed ones", dc, misdelivered)
 		}
 	}
 	for id, sv := range s.servers {
-		_, _, repeated, crossed := sv.Counts()
-		if repeated > 0 || crossed > 0 {
-			s.violation("%s ran %d requests more than once and got %d packets that were not for it", id, repeated, crossed)
+		_, _, repeated, misdelivered := sv.Counts()
+		if repeated > 0 || misdelivered > 0 {
+			s.violation("%s ran %d requests more than once and got %d packets that were not for it", id, repeated, misdelivered)
 		}
 	}
-	for _, sv := range services {
-		if s.servedCount[sv.name] == 0 {
-			s.violation("no request of %s was served", sv.name)
+	for _, svc := range services {
+		if s.servedCount[svc.name] == 0 {
+			s.violation("no request of %s was served", svc.name)
 		}
 	}
 }
