--- a/internal/core/arena.go
+++ b/internal/core/arena.go
@@ -39,8 +39,8 @@
 	return a.tokens[a.usedTokens-1]
 }
 
-// newPeerMessage returns an empty data message that carries the load of this
-// instance for s. s may be nil.
+// newPeerMessage returns a message without a body that carries the load of this
+// instance for s. s may be nil; the message then carries no load.
 func (c *Core) newPeerMessage(s *service) *messageBuffer {
 	a := &c.arena
 	if a.usedBuffers == len(a.buffers) {
--- a/internal/core/backend.go
+++ b/internal/core/backend.go
@@ -19,8 +19,8 @@
 	// which a request is classified as long.
 	attemptRunTimes = 4
 	// defaultMaxAge is the Max-Age, in seconds, of a response without that
-	// option (RFC 7252 section 5.10.5). It is not a retry time set by the
-	// backend server.
+	// option (RFC 7252 section 5.10.5). A response with this value is treated
+	// as one without a retry time.
 	defaultMaxAge = 60
 )
 
--- a/internal/core/blockroute_test.go
+++ b/internal/core/blockroute_test.go
@@ -10,8 +10,8 @@
 )
 
 // Guards against a block-wise transfer that ends when the instance that served
-// its first block fails: follow-up blocks were relayed to that instance for 250
-// s.
+// its first block fails, because follow-up blocks are relayed to that instance
+// for 250 s.
 func TestFollowUpBlocksSurviveLossOfInstance(t *testing.T) {
 	const callers = 20
 	tc := newTestCluster(t, 3, testService("s", 6))
--- a/internal/core/caller.go
+++ b/internal/core/caller.go
@@ -102,7 +102,8 @@
 }
 
 // homeInstance returns the home instance of a flow, which keeps the state of the
-// flow. It is selected by hash, the hash of the caller endpoint.
+// flow. A flow is the traffic between one caller endpoint and one service. hash
+// is the hash of the caller endpoint.
 func (c *Core) homeInstance(s *service, hash uint64) (ids.Instance, bool) {
 	return c.routes.Home(s.name, hash)
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -34,7 +34,7 @@
 	DataCentre  ids.DataCentre
 	PeerAddr    string // IP:port of the link listener
 	Seeds       []member.Seed
-	Linger      time.Duration    // time for which late datagrams are relayed after a planned stop
+	Linger      time.Duration    // time for which late datagrams are relayed at the end of a planned stop
 	Admissions  admission.Limits // the default limits when zero
 }
 
@@ -46,13 +46,13 @@
 	keys         *admission.Keyring
 	rng          *rand.Rand    // for jitter and tie-breaking
 	nonces       *rand.ChaCha8 // token nonces; unpredictable without the seed
-	membership   *member.View  // membership view
-	configStore  *config.Store // configuration documents
-	slotTable    *spread.Table // slot ownership; keeps this instance as an owner during a planned stop
-	routes       *spread.Table // home instances and slot owners; the same table as slotTable except during a planned stop
-	incarnations map[ids.Instance]ids.Incarnation
+	membership   *member.View
+	configStore  *config.Store                    // configuration documents
+	slotTable    *spread.Table                    // slot ownership; keeps this instance as an owner during a planned stop
+	routes       *spread.Table                    // home instances and slot owners; the same table as slotTable except during a planned stop
+	incarnations map[ids.Instance]ids.Incarnation // latest known incarnation of each other instance
 	now          ids.Time
-	lastTick     ids.Time // time of the last tick
+	lastTick     ids.Time
 	effects      *Effects // effects of the current call
 	arena        arena
 
@@ -182,9 +182,9 @@
 	e.Event, e.Detail = event, detail
 }
 
-func (c *Core) emitSpan(hop Stage, s *service, traceID uint64, start ids.Time) {
+func (c *Core) emitSpan(stage Stage, s *service, traceID uint64, start ids.Time) {
 	e := c.emit(Span)
-	e.Stage, e.Service, e.TraceID, e.Start, e.Duration = hop, s.name, traceID, start, c.now.Sub(start)
+	e.Stage, e.Service, e.TraceID, e.Start, e.Duration = stage, s.name, traceID, start, c.now.Sub(start)
 }
 
 // accepting reports whether this instance may start new work in its own slots.
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -114,9 +114,9 @@
 	return class, true
 }
 
-// acquireSlot takes a slot for r; a follow-up block takes one of its pinned
-// target. While that target is busy, r waits for it outside the fair queue,
-// where it has already had its turn, and waits is true.
+// acquireSlot takes a slot for r. A follow-up block takes a slot of its pinned
+// target. While that target has no free slot, r is added to waitingForTarget and
+// waits is true; r does not pass through the fair queue again.
 func (c *Core) acquireSlot(r *request) (lease spread.Lease, ok, waits bool) {
 	s := r.svc
 	if r.pinnedTarget != "" && (s.pool.OutOfService(r.pinnedTarget) || len(s.waitingForTarget) >= s.limiter.MaxLength) {
@@ -229,8 +229,8 @@
 	}
 }
 
-// sendReset sends an RST with the message ID of a request, which cancels it, or
-// of a message that belongs to no request.
+// sendReset sends an RST to a backend server, either to cancel the request with
+// the given message ID or to reject a message that belongs to no request.
 func (c *Core) sendReset(s ids.Service, t ids.Target, to ids.Endpoint, id uint16) {
 	e := c.emit(ToBackend)
 	e.Service, e.Target, e.Endpoint = s, t, to
--- a/internal/core/inspect.go
+++ b/internal/core/inspect.go
@@ -37,7 +37,7 @@
 type PartnerState struct {
 	Partner ids.Partner
 	Weight  uint32
-	Share   float64 // of the slots while all partners have demand, 0 to 1
+	Share   float64 // fraction of the slots while all partners have demand, 0 to 1
 	// Demand is the number of requests that run or wait here now: the slots
 	// that the partner would use at once. Rejected requests are not part of it.
 	Demand float64
--- a/internal/core/long.go
+++ b/internal/core/long.go
@@ -6,10 +6,10 @@
 	"arbutusdock.example/arbutusdock/internal/spread"
 )
 
-// longOverdueDivisor divides the queue time: if no long request has started at
-// this instance for that part of it, a waiting one may exceed the limit over
-// all owners. This bounds the wait when reports are lost or co-owners use the
-// whole limit all the time.
+// longOverdueDivisor determines when a long request may exceed the limit over all
+// owners: when long requests have waited at this instance for the maximum queue
+// time divided by longOverdueDivisor and none has started. This bounds the wait
+// when reports are lost or co-owners use the whole limit all the time.
 const longOverdueDivisor = 4
 
 // mayStart reports whether a request of class may take a slot here now.
@@ -38,8 +38,8 @@
 
 // belowSharedLongLimit reports whether the long requests of all owners stay
 // within the limit if one more starts. An owner whose last report is too old
-// counts as having none. Owners that start one within the time that a report
-// takes may exceed the limit for a while.
+// counts as having none. Owners that start long requests before they receive
+// each other's reports may together exceed the limit for a while.
 func (c *Core) belowSharedLongLimit(s *service) bool {
 	limit, applies := s.sharedLongLimit()
 	if !applies {
@@ -101,8 +101,8 @@
 
 // reportLongCount reports to all co-owners at once when the number of long
 // requests here has changed while the limit over all owners applies, or when
-// requests with another key turn out to be long. With outdated
-// numbers, several owners together could exceed the limit.
+// requests with another key turn out to be long. With outdated numbers, several
+// owners together could exceed the limit.
 func (c *Core) reportLongCount(s *service) {
 	if s.pool == nil || s.ownedSlots() == 0 || len(s.peers) > maxScannedPeers {
 		s.endedLongKey, s.endedLongRunTime = 0, 0
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -168,8 +168,8 @@
 	}
 }
 
-// newUpstream returns an upstream token that was never used before in this
-// incarnation, and a message ID.
+// newUpstream registers u under a new message ID and an upstream token that was
+// never used before in this incarnation.
 func (c *Core) newUpstream(u upstream) (token uint64, id uint16) {
 	c.upstreamTokenLow++
 	if c.upstreamTokenLow == 0 {
--- a/internal/core/request_test.go
+++ b/internal/core/request_test.go
@@ -306,8 +306,8 @@
 	}
 }
 
-// Guards against the short run times of follow-up blocks, which would classify
-// every first block of a transfer as long.
+// Guards against a prediction that includes the short run times of follow-up
+// blocks: every first block of a transfer would then be classified as long.
 func TestFollowUpBlocksDoNotChangeTheClass(t *testing.T) {
 	tc := newTestCluster(t, 1, testService("s", 2))
 	for n := range 20 {
--- a/internal/core/respond.go
+++ b/internal/core/respond.go
@@ -114,7 +114,7 @@
 	return b
 }
 
-// sendAckRoute requests the home instance of a caller to relay an ACK, or the
+// sendAckRoute instructs the home instance of a caller to relay an ACK, or the
 // follow-up blocks of path, to this instance.
 func (c *Core) sendAckRoute(s *service, caller ids.Endpoint, id uint16, path uint64, home ids.Instance) {
 	b := c.newPeerMessage(s)
@@ -148,7 +148,8 @@
 	}
 }
 
-// retransmit sends again the confirmable messages whose ACK is overdue.
+// retransmit retransmits the confirmable messages whose ACK is overdue, each at
+// most maxRetransmit times.
 func (c *Core) retransmit() {
 	// In reverse order, as stopAwaitingAck moves the last element into the
 	// freed index.
--- a/internal/core/snapshot.go
+++ b/internal/core/snapshot.go
@@ -11,7 +11,11 @@
 	"arbutusdock.example/arbutusdock/internal/spread"
 )
 
-// Counters counts events since the start of the instance.
+// Counters counts events since the start of the instance. Resends are requests
+// that are sent again to the same backend server, Retransmits are confirmable
+// messages that are sent again to a caller, and Repeats are retransmissions
+// received from callers. Shed counts 5.03 responses of backend servers, Unsynced
+// the requests discarded because the membership list has not arrived yet.
 type Counters struct {
 	Requests, Answered, Dispatched, Relayed, Queued uint64
 	Minted, Reminted, Admitted, Duplicates          uint64
--- a/internal/core/stop.go
+++ b/internal/core/stop.go
@@ -50,8 +50,8 @@
 	lastSent        ids.Time
 }
 
-// Stop starts the planned stop of this instance. Exit follows when it is
-// complete.
+// Stop starts the planned stop of this instance. The effect Exit follows when
+// the stop is complete.
 func (c *Core) Stop(now ids.Time, out *Effects) {
 	c.begin(now, out)
 	if c.stop.phase != running || c.exited {
--- a/internal/share/queue.go
+++ b/internal/share/queue.go
@@ -1,6 +1,7 @@
 // Package share divides the slot time of one slot owner among partners. It provides a
-// start-time fair queue for waiting requests, weighted max-min fairness for dry runs,
-// and retry times for refused callers. It performs no I/O and reads no clock.
+// start-time fair queue for waiting requests, the weighted max-min fair allocation to
+// predict the effect of a change of weights, and retry times for refused callers. It
+// performs no I/O and reads no clock.
 package share
 
 import (
@@ -13,8 +14,8 @@
 // Queue is a start-time fair queue over partners. Each partner has a first-in
 // first-out queue and a virtual time that advances by cost ÷ weight for each
 // item popped; Pop takes from the partner with the lowest virtual time. Start tags
-// are assigned when an item reaches the head of its queue, so a change of weights or
-// a charge takes effect with the next Pop. The zero value is ready for use.
+// are assigned when an item reaches the head of its queue, so SetWeights and Charge
+// take effect with the next Pop. The zero value is ready for use.
 type Queue[T any] struct {
 	partners    map[ids.Partner]*partner[T]
 	list        []*partner[T] // all partners, oldest first
@@ -87,9 +88,8 @@
 	if p.heapIndex >= 0 {
 		return
 	}
-	// A partner that was idle starts at the current virtual time. It accumulates no
-	// credit for its unused share and is not charged for idle share of others that it
-	// used.
+	// A partner that was idle starts at the current virtual time: it gets no credit
+	// for the share that it did not use, and the others are not charged for it.
 	p.virtualTime = max(p.virtualTime, q.virtualTime)
 	p.activation = q.activations
 	q.activations++
--- a/internal/spread/lease.go
+++ b/internal/spread/lease.go
@@ -2,8 +2,8 @@
 
 import "arbutusdock.example/arbutusdock/internal/ids"
 
-// activeRequest is a request that holds a slot. Requests that have not reached the run
-// time of long ones are linked in order of start time.
+// activeRequest is a request that holds a slot. Requests whose run time is still below
+// that of long requests are linked in order of start time.
 type activeRequest struct {
 	target        int32
 	next, prev    int32
@@ -151,7 +151,7 @@
 	p.freeIfUnused(e.target)
 }
 
-// unlinkRequest removes a request from the list of running requests.
+// unlinkRequest removes a request from the list in order of start time.
 func (p *Pool) unlinkRequest(r int32) {
 	e := &p.requests[r]
 	if e.prev != none {
--- a/internal/spread/pool.go
+++ b/internal/spread/pool.go
@@ -45,13 +45,13 @@
 	freeRequest int32           // list of free entries in requests
 	running     int             // number of running requests
 	longRunning int             // number of long requests that hold a slot
-	oldest      int32           // list of running requests, in order of start time
+	oldest      int32           // list of running requests below longThreshold, in order of start time
 	newest      int32
 
 	feeds      int // number of open feeds
 	feedOffset int // start of the next search, rotated to spread feeds over equal targets
 	predictor  predictor
-	now        ids.Time // time of the last call with a time
+	now        ids.Time // time passed to the last call that has a time parameter
 }
 
 func newPool(service ids.Service, seed uint64) *Pool {
--- a/internal/spread/pool_test.go
+++ b/internal/spread/pool_test.go
@@ -156,7 +156,7 @@
 
 func (f *fixture) checkCounters(r *rapid.T, leases int) {
 	p := f.pool
-	usable, free, running, listed, longs, counted, suspect := 0, 0, 0, 0, 0, 0, 0
+	usable, free, running, listed, longRunning, panicTotal, panicSuspected := 0, 0, 0, 0, 0, 0, 0
 	for _, t := range p.targets {
 		if t == nil {
 			continue
@@ -167,18 +167,18 @@
 			assert.Assert(r, t.free > 0)
 		}
 		if t.countsForPanic() {
-			counted++
+			panicTotal++
 			if t.suspected() {
-				suspect++
+				panicSuspected++
 			}
 		}
 	}
 	for _, e := range p.requests {
 		if e.active && e.class == Long {
-			longs++
+			longRunning++
 		}
 	}
-	assert.DeepEqual(r, []int{usable, free, running, longs, counted, suspect},
+	assert.DeepEqual(r, []int{usable, free, running, longRunning, panicTotal, panicSuspected},
 		[]int{p.usable, p.free, leases, p.longRunning, p.panicTotal, p.panicSuspected})
 	n := 0
 	for i := p.freeHead; i != none; i = p.targets[i].next {
--- a/internal/spread/predict.go
+++ b/internal/spread/predict.go
@@ -20,7 +20,7 @@
 const (
 	predictorSets   = 128 // number of sets; each holds the history of predictorWays keys
 	predictorWays   = 4
-	timeoutsForLong = 3 // consecutive timeouts after which a key is long
+	timeoutsForLong = 3 // timeouts without a success after which a key is classified as long
 	// overallMeanWindow is the window of the mean over all requests. It is large
 	// because a few long requests hold much of the slot time.
 	overallMeanWindow = 256
@@ -103,8 +103,8 @@
 }
 
 // record records the run time of a request. A timeout may be caused by a dead target
-// as well as by a long request, so a key becomes long only after timeoutsForLong
-// timeouts without a success between them.
+// as well as by a long request, so a key is classified as long only after
+// timeoutsForLong timeouts without a success between them.
 func (p *predictor) record(key uint64, runTime time.Duration, c Class, o Outcome) {
 	if key == UntrackedKey || runTime <= 0 || o != Success && o != Timeout {
 		return
--- a/internal/spread/table.go
+++ b/internal/spread/table.go
@@ -209,13 +209,13 @@
 // Tick processes the timers of all pools and calls due for each health check that
 // is due. It must be called every 10 ms.
 func (t *Table) Tick(now ids.Time, due func(s ids.Service, target ids.Target, url string)) {
-	expired := false
+	anyIdle := false
 	for _, s := range t.pools {
 		s.pool.tick(now)
 		s.pool.dispatchChecks(now, due)
-		expired = expired || s.pool.idle()
+		anyIdle = anyIdle || s.pool.idle()
 	}
-	if expired {
+	if anyIdle {
 		t.indexPools()
 	}
 }
--- a/internal/spread/target.go
+++ b/internal/spread/target.go
@@ -7,8 +7,8 @@
 	"arbutusdock.example/arbutusdock/internal/ids"
 )
 
-// target is the state of a backend server target on which this instance owns, or has
-// owned, slots. Lifecycle and suspicion are independent state machines.
+// target is the state of a backend server on which this instance owns, or has owned,
+// slots. Lifecycle and suspicion are independent state machines.
 type target struct {
 	name      ids.Target
 	endpoint  ids.Endpoint
--- a/internal/spread/types.go
+++ b/internal/spread/types.go
@@ -1,7 +1,7 @@
-// Package spread assigns the slots of backend server targets to instances, maps
-// each flow to its home instance, and selects the owned slot that serves the next
-// request. A slot is the capacity of a target for one concurrent request. The
-// package performs no I/O and reads no clock.
+// Package spread assigns the slots of targets to instances, maps each flow to its
+// home instance, and selects the owned slot that serves the next request. A target
+// is a backend server of a service; a slot is its capacity for one concurrent
+// request. The package performs no I/O and reads no clock.
 package spread
 
 import (
