--- a/internal/standin/backend/backend_test.go
+++ b/internal/standin/backend/backend_test.go
@@ -26,8 +26,8 @@
 	t.Helper()
 	g, err := Start(Options{
 		Services: []config.Service{{Name: "counter", Targets: []config.Target{{Name: "t", Address: netip.MustParseAddrPort(addr), Slots: 2}}}},
-		Run:      map[string]time.Duration{"counter": run}, LongFactor: 50, Queue: 1, FeedInterval: 50 * time.Millisecond,
-		DrainGrace: 100 * time.Millisecond, ColdFor: time.Second,
+		RunTime:  map[string]time.Duration{"counter": run}, LongRunFactor: 50, QueueLimit: 1, FeedInterval: 50 * time.Millisecond,
+		DrainGrace: 100 * time.Millisecond, ColdPeriod: time.Second,
 	})
 	assert.NilError(t, err)
 	t.Cleanup(g.Close)
@@ -47,8 +47,9 @@
 	return m, nil
 }
 
-// Guards against a backend server that runs more than its slots, queues without
-// bound, or counts a shed or foreign request as run.
+// Guards against a backend server that runs more requests at once than it has
+// slots, queues more than the limit, or counts a rejected request or one of
+// another service as executed.
 func TestSlotsQueueAndShedding(t *testing.T) {
 	g, cc := start(t, "127.83.0.1:5811", 100*time.Millisecond)
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
@@ -71,12 +72,12 @@
 	assert.DeepEqual(t, got, map[codes.Code]int{codes.Content: 3, codes.ServiceUnavailable: 2, codes.NotFound: 1})
 	c := g.Counts().Targets["counter/t"]
 	assert.Equal(t, c.MaxRunning, 2)
-	assert.Equal(t, c.Runs, 3)
-	assert.Equal(t, c.Foreign, 1)
-	assert.Equal(t, len(g.Counts().Runs), 3)
+	assert.Equal(t, c.Executions, 3)
+	assert.Equal(t, c.WrongService, 1)
+	assert.Equal(t, len(g.Counts().Executions), 3)
 }
 
-// Guards against a cancellation or deadline that leaves the slot occupied.
+// Guards against a cancelled or expired request that keeps its slot.
 func TestCancelAndDeadline(t *testing.T) {
 	g, cc := start(t, "127.83.0.2:5811", time.Second)
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
@@ -101,12 +102,12 @@
 	c := g.Counts()
 	assert.Equal(t, c.Targets["counter/t"].Cancelled, 1)
 	assert.Equal(t, c.Targets["counter/t"].Expired, 1)
-	assert.Equal(t, c.Runs["counter.a.2.1"].Count, 1)
-	assert.Equal(t, c.Runs["counter.a.2.1"].Ended, 0)
+	assert.Equal(t, c.Executions["counter.a.2.1"].Count, 1)
+	assert.Equal(t, c.Executions["counter.a.2.1"].Ended, 0)
 }
 
-// Guards against a drain that the health endpoint does not report, or that
-// leaves feeds open after its grace period.
+// Guards against a drain that the health endpoint does not report, or that leaves
+// feeds open after the grace period.
 func TestDrain(t *testing.T) {
 	g, cc := start(t, "127.83.0.3:5811", time.Millisecond)
 	h := httptest.NewServer(g.Handler())
@@ -120,7 +121,7 @@
 	assert.NilError(t, err)
 	time.Sleep(120 * time.Millisecond)
 	assert.Assert(t, g.Counts().Targets["counter/t"].Readings >= 1)
-	g.servers[0].control(Control{State: Draining})
+	g.servers[0].applyControl(Control{State: Draining})
 	resp, err := h.Client().Get(h.URL + "/health/counter/t")
 	assert.NilError(t, err)
 	defer resp.Body.Close()
@@ -131,7 +132,7 @@
 	case code := <-ended:
 		assert.Equal(t, code, codes.ServiceUnavailable)
 	case <-time.After(2 * time.Second):
-		t.Fatal("the feed outlived the drain")
+		t.Fatal("feed is still open after the drain grace period")
 	}
-	assert.Equal(t, g.Counts().Targets["counter/t"].FeedsCut, 1)
+	assert.Equal(t, g.Counts().Targets["counter/t"].FeedsClosedByDrain, 1)
 }
--- a/internal/standin/backend/ledger.go
+++ b/internal/standin/backend/ledger.go
@@ -7,45 +7,50 @@
 	"arbutusdock.example/arbutusdock/internal/standin/wire"
 )
 
-// ledger counts executions by request id for all servers of a group. It is
-// what the callers would find in the application's own records.
-type ledger struct {
-	mu   *sync.Mutex
-	runs map[string]wire.Run
-	ops  map[string]int // executions by operation
+// executionCounter counts executions by request id for all servers of a group. It
+// stands for the records of the application, in which callers can look up whether
+// a request was executed.
+type executionCounter struct {
+	mu          *sync.Mutex
+	byRequest   map[string]wire.ExecutionCounts
+	byOperation map[string]int // number of executions by operation id
 }
 
-func newLedger() ledger {
-	return ledger{mu: &sync.Mutex{}, runs: map[string]wire.Run{}, ops: map[string]int{}}
+func newExecutionCounter() executionCounter {
+	return executionCounter{mu: &sync.Mutex{}, byRequest: map[string]wire.ExecutionCounts{}, byOperation: map[string]int{}}
 }
 
-func (l *ledger) change(id string, f func(*wire.Run)) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	r := l.runs[id]
+func (c *executionCounter) update(id string, f func(*wire.ExecutionCounts)) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r := c.byRequest[id]
 	f(&r)
-	l.runs[id] = r
+	c.byRequest[id] = r
 }
 
-func (l *ledger) begin(id wire.ID, post bool) {
-	l.change(id.String(), func(r *wire.Run) { r.Count++; r.Post = post })
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.ops[id.Op()]++
+func (c *executionCounter) countStart(id wire.ID, post bool) {
+	c.update(id.String(), func(r *wire.ExecutionCounts) { r.Count++; r.Post = post })
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.byOperation[id.OperationID()]++
 }
 
-func (l *ledger) end(id wire.ID)   { l.change(id.String(), func(r *wire.Run) { r.Ended++ }) }
-func (l *ledger) block(id wire.ID) { l.change(id.String(), func(r *wire.Run) { r.Blocks++ }) }
+func (c *executionCounter) countEnd(id wire.ID) {
+	c.update(id.String(), func(r *wire.ExecutionCounts) { r.Ended++ })
+}
+func (c *executionCounter) countBlock(id wire.ID) {
+	c.update(id.String(), func(r *wire.ExecutionCounts) { r.Blocks++ })
+}
 
-// ran reports whether any attempt of the operation was executed.
-func (l *ledger) ran(op string) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.ops[op] > 0
+// hasRun reports whether an attempt of the operation was executed.
+func (c *executionCounter) hasRun(op string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.byOperation[op] > 0
 }
 
-func (l *ledger) copy() map[string]wire.Run {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return maps.Clone(l.runs)
+func (c *executionCounter) snapshot() map[string]wire.ExecutionCounts {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return maps.Clone(c.byRequest)
 }
