--- a/e2e/e2e_test.go
+++ b/e2e/e2e_test.go
@@ -97,7 +97,7 @@
 	time.Sleep(time.Second)
 	whileDown := f.targetCounts("counter/counter-1-1")
 	time.Sleep(2 * time.Second)
-	f.mustRequest("PUT", f.platformURL()+"/control/fault", platform.Fault{Stale: before.Upto})
+	f.mustRequest("PUT", f.platformURL()+"/control/fault", platform.Fault{StaleRevision: before.Upto})
 	f.signal("dc1-3", syscall.SIGTERM)
 	f.mustRequest("POST", f.platformURL()+"/control/instances/dc1-3/leave", nil)
 	f.awaitExit("dc1-3")
@@ -105,7 +105,7 @@
 	v := verdict()
 	after := f.targetCounts("counter/counter-1-1")
 	assertInvariants(t, v)
-	assert.Equal(t, after.Runs, whileDown.Runs, "a target drained by an accepted document got work again")
+	assert.Equal(t, after.Executions, whileDown.Executions, "a target drained by an accepted document got work again")
 	assert.Equal(t, after.Feeds, 0)
 }
 
@@ -117,7 +117,7 @@
 	f := startFleet(t)
 	v := f.startLoadWith(caller.Options{Duration: 4 * time.Second, AckTimeout: 2 * time.Second}, overloadRequestRate)()
 	assertInvariants(t, v)
-	assert.Equal(t, v.Wasted, 0)
+	assert.Equal(t, v.WastedExecutions, 0)
 }
 
 func (f *fleet) targetCounts(name string) wire.TargetCounts {
@@ -137,7 +137,7 @@
 	time.Sleep(2 * time.Second)
 	f.recordEvent(report.Kill) // callers of the cut-off data centre cannot reach it in the meantime
 	f.mustRequest("PUT", f.platformURL()+"/control/fault", platform.Fault{Listen: f.helperAddr(2, 1), Down: true})
-	f.mustRequest("PUT", f.fabricURL()+"/faults", fabric.Faults{CutDataCentres: []string{"dc2"}, SplitDataCentres: []string{"dc2"}})
+	f.mustRequest("PUT", f.fabricURL()+"/faults", fabric.Faults{BlockedDataCentres: []string{"dc2"}, PartitionedDataCentres: []string{"dc2"}})
 	time.Sleep(3 * time.Second)
 	f.mustRequest("PUT", f.fabricURL()+"/faults", fabric.Faults{})
 	time.Sleep(2 * time.Second)
@@ -162,7 +162,7 @@
 	verdict := f.startLoad(12*time.Second, requestRate)
 	time.Sleep(2 * time.Second)
 	f.recordEvent(report.Kill) // a feed may stop once and must be restored
-	f.mustRequest("PUT", f.backendURL()+"/control", backend.Control{Service: "alarm", Mute: true})
+	f.mustRequest("PUT", f.backendURL()+"/control", backend.Control{Service: "alarm", MuteFeeds: true})
 	assertInvariants(t, verdict())
 }
 
@@ -174,7 +174,7 @@
 	f := startFleet(t)
 	verdict := f.startLoad(8*time.Second, requestRate)
 	time.Sleep(2 * time.Second)
-	f.mustRequest("PUT", f.backendURL()+"/control", backend.Control{Service: "counter", Target: "counter-1-1", Lie: "failing"})
+	f.mustRequest("PUT", f.backendURL()+"/control", backend.Control{Service: "counter", Target: "counter-1-1", StatusOverride: "failing"})
 	f.mustRequest("PUT", f.backendURL()+"/control", backend.Control{Service: "alarm", Target: "alarm-1-1", State: backend.Draining})
 	assertInvariants(t, verdict())
 }
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -126,7 +126,7 @@
 	f.startProcess("fabric", append([]string{"standin", "fabric", "--documents", docs, "--platform", f.platformURL(),
 		"--control", f.helperAddr(0, 3) + ":7400", "--links", filepath.Join(f.dir, "links.txt"), "--public"}, f.publicAddrs()...)...)
 	f.awaitReady(func() bool {
-		return f.tryRequest("PUT", f.fabricURL()+"/faults", fabric.Faults{DelayMS: map[string]float64{"dc1": 1, "dc2": 1}, BetweenMS: 0.5}, nil)
+		return f.tryRequest("PUT", f.fabricURL()+"/faults", fabric.Faults{DelayMS: map[string]float64{"dc1": 1, "dc2": 1}, LinkDelayMS: 0.5}, nil)
 	})
 	for id := range f.instances {
 		f.startInstance(id)
@@ -283,12 +283,12 @@
 		sources, feeds, err := caller.Mix(user, rate, 12)
 		assert.NilError(f.t, err)
 		opt.User, opt.Sources, opt.Feeds = user, sources, feeds
-		opt.Public = map[string]netip.Addr{
+		opt.PublicIPs = map[string]netip.Addr{
 			"dc1": netip.AddrFrom4([4]byte{127, byte(f.firstNetwork + 2), 1, 1}), "dc2": netip.AddrFrom4([4]byte{127, byte(f.firstNetwork + 2), 2, 1}),
 		}
 		opt.Ports = map[string]uint16{"counter": 5701, "slip": 5702, "alarm": 5703, "certificate": 5704}
-		opt.Local = netip.AddrFrom4([4]byte{127, byte(f.firstNetwork + 3), byte(i + 1), 1})
-		opt.Callers, opt.Deadline, opt.Refresh, opt.Silence, opt.Zipf, opt.Seed = 6, 5*time.Second, 4*time.Second, 3*time.Second, 1.2, seed
+		opt.FirstLocalIP = netip.AddrFrom4([4]byte{127, byte(f.firstNetwork + 3), byte(i + 1), 1})
+		opt.Callers, opt.Deadline, opt.RefreshInterval, opt.SilenceTimeout, opt.ZipfExponent, opt.Seed = 6, 5*time.Second, 4*time.Second, 3*time.Second, 1.2, seed
 		c, err := caller.New(ctx, opt)
 		assert.NilError(f.t, err)
 		go func() { results <- c.Run(ctx) }()
@@ -298,7 +298,7 @@
 		var counts wire.BackendCounts
 		assert.Assert(f.t, f.tryRequest("GET", f.backendURL()+"/counts", nil, &counts))
 		input.Backends = []wire.BackendCounts{counts}
-		result := report.Judge(input)
+		result := report.Evaluate(input)
 		recorder := httptest.NewRecorder()
 		_ = report.Write(recorder, input, result)
 		f.t.Log("\n" + recorder.Body.String())
--- a/e2e/soak_test.go
+++ b/e2e/soak_test.go
@@ -59,7 +59,7 @@
 			t.Parallel()
 			f := startFleet(t)
 			s := &soak{fleet: f, rng: rand.New(rand.NewPCG(n, 3)), busy: map[string]bool{}}
-			s.networkFaults = fabric.Faults{DelayMS: map[string]float64{"dc1": 1, "dc2": 1}, BetweenMS: 0.5}
+			s.networkFaults = fabric.Faults{DelayMS: map[string]float64{"dc1": 1, "dc2": 1}, LinkDelayMS: 0.5}
 			verdict := f.startLoad(length+soakSettleTime, soakRequestRate)
 			s.runFaults(length)
 			assertInvariants(t, verdict())
@@ -125,13 +125,13 @@
 		s.faultNetwork(d, "loss", func(f *fabric.Faults) { f.Loss, f.Duplicate, f.Reorder, f.JitterMS = 0.02, 0.03, 0.03, 3 },
 			func(f *fabric.Faults) { f.Loss, f.Duplicate, f.Reorder, f.JitterMS = 0, 0, 0, 0 })
 	case 7:
-		s.faultNetwork(d, "split", func(f *fabric.Faults) { f.SplitDataCentres = []string{dc} }, func(f *fabric.Faults) { f.SplitDataCentres = nil })
+		s.faultNetwork(d, "split", func(f *fabric.Faults) { f.PartitionedDataCentres = []string{dc} }, func(f *fabric.Faults) { f.PartitionedDataCentres = nil })
 	case 8:
-		s.faultNetwork(d, "mute", func(f *fabric.Faults) { f.MuteDataCentres = []string{dc} }, func(f *fabric.Faults) { f.MuteDataCentres = nil })
+		s.faultNetwork(d, "mute", func(f *fabric.Faults) { f.OutboundBlockedDataCentres = []string{dc} }, func(f *fabric.Faults) { f.OutboundBlockedDataCentres = nil })
 	case 9:
-		s.faultNetwork(0, "break links", func(f *fabric.Faults) { f.BreakLinks = true }, func(f *fabric.Faults) { f.BreakLinks = false })
+		s.faultNetwork(0, "break links", func(f *fabric.Faults) { f.ResetLinks = true }, func(f *fabric.Faults) { f.ResetLinks = false })
 	case 10:
-		s.faultNetwork(d, "slow links", func(f *fabric.Faults) { f.BetweenMS = 80 }, func(f *fabric.Faults) { f.BetweenMS = 0.5 })
+		s.faultNetwork(d, "slow links", func(f *fabric.Faults) { f.LinkDelayMS = 80 }, func(f *fabric.Faults) { f.LinkDelayMS = 0.5 })
 	case 11:
 		s.beginUnlessBusy("platform", func() { s.faultPlatform(d) })
 	case 12:
@@ -221,7 +221,7 @@
 // for one data centre.
 func (s *soak) faultPlatform(d time.Duration) {
 	listen := []string{"", s.helperAddr(1, 1), s.helperAddr(2, 1)}[s.rng.IntN(3)]
-	fault := []platform.Fault{{Down: true}, {SlowMS: 500}, {Stale: max(s.staleRevision, 1)}}[s.rng.IntN(3)]
+	fault := []platform.Fault{{Down: true}, {SlowMS: 500}, {StaleRevision: max(s.staleRevision, 1)}}[s.rng.IntN(3)]
 	fault.Listen = listen
 	var page platform.Page
 	if s.tryRequest("GET", s.fleet.platformURL()+"/v1/documents", nil, &page) {
@@ -257,16 +257,16 @@
 // keep its feeds open without notifications.
 func (s *soak) faultBackend(d time.Duration) {
 	control := []backend.Control{
-		{Service: "counter", Target: "counter-1-1", Lie: "failing"},
-		{Service: "certificate", Target: "certificate-1-1", Lie: "ok", Cold: true},
-		{Service: "alarm", Target: "alarm-1-1", Mute: true},
+		{Service: "counter", Target: "counter-1-1", StatusOverride: "failing"},
+		{Service: "certificate", Target: "certificate-1-1", StatusOverride: "ok", ColdStart: true},
+		{Service: "alarm", Target: "alarm-1-1", MuteFeeds: true},
 	}[s.rng.IntN(3)]
-	if control.Mute {
+	if control.MuteFeeds {
 		s.markDisturbed(d, "silent feeds")
 	}
 	s.mustRequest("PUT", s.backendURL()+"/control", control)
 	s.scheduleAfter(d, func() {
-		s.mustRequest("PUT", s.backendURL()+"/control", backend.Control{Service: control.Service, Target: control.Target, Lie: "true"})
+		s.mustRequest("PUT", s.backendURL()+"/control", backend.Control{Service: control.Service, Target: control.Target, StatusOverride: "true"})
 		s.busy["backend"] = false
 	})
 }
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -1,5 +1,5 @@
-// Package keys creates and reads the key material of a fleet: the fleet CA,
-// instance certificates and admission keys, each in files.
+// Package keys creates and reads the key files of a fleet: the fleet's
+// certificate authority (CA), instance certificates and admission keys.
 package keys
 
 import (
@@ -25,24 +25,25 @@
 const (
 	// AdmissionKeyBytes is the length of an admission key (HMAC-SHA-256).
 	AdmissionKeyBytes = 32
-	// clockSkew is allowed between the machine that issues a certificate and
-	// those that verify it.
+	// clockSkew is the clock difference allowed between the machine that issues
+	// a certificate and those that verify it.
 	clockSkew = 5 * time.Minute
 
-	certificateBlock = "CERTIFICATE"
-	keyBlock         = "PRIVATE KEY"
-	maxKeyFile       = 4096 // bytes
+	certificatePEMType = "CERTIFICATE"
+	keyPEMType         = "PRIVATE KEY"
+	maxKeyFileBytes    = 4096
 )
 
-// CA is a fleet CA.
+// CA is the certificate authority of a fleet.
 type CA struct {
 	certificate *x509.Certificate
 	key         ed25519.PrivateKey
 }
 
-// CreateCA writes ca.crt and ca.key to dir. It refuses to replace files.
+// CreateCA creates a CA with the common name name and writes ca.crt and ca.key
+// to dir. It fails if either file exists.
 func CreateCA(dir, name string, validity time.Duration) (*CA, error) {
-	public, private, err := ed25519.GenerateKey(rand.Reader)
+	publicKey, privateKey, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
 		return nil, eris.Wrap(err, "create CA key")
 	}
@@ -54,11 +55,11 @@
 	template.BasicConstraintsValid = true
 	template.MaxPathLenZero = true
 	template.KeyUsage = x509.KeyUsageCertSign
-	der, err := x509.CreateCertificate(rand.Reader, template, template, public, private)
+	der, err := x509.CreateCertificate(rand.Reader, template, template, publicKey, privateKey)
 	if err != nil {
 		return nil, eris.Wrap(err, "create CA certificate")
 	}
-	if err := writePair(dir, "ca", der, private); err != nil {
+	if err := writeKeyPair(dir, "ca", der, privateKey); err != nil {
 		return nil, err
 	}
 	return LoadCA(dir)
@@ -66,7 +67,7 @@
 
 // LoadCA reads ca.crt and ca.key from dir.
 func LoadCA(dir string) (*CA, error) {
-	der, err := readBlock(filepath.Join(dir, "ca.crt"), certificateBlock)
+	der, err := readPEMBlock(filepath.Join(dir, "ca.crt"), certificatePEMType)
 	if err != nil {
 		return nil, err
 	}
@@ -74,27 +75,27 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "parse CA certificate")
 	}
-	if der, err = readBlock(filepath.Join(dir, "ca.key"), keyBlock); err != nil {
+	if der, err = readPEMBlock(filepath.Join(dir, "ca.key"), keyPEMType); err != nil {
 		return nil, err
 	}
 	key, err := x509.ParsePKCS8PrivateKey(der)
 	if err != nil {
 		return nil, eris.Wrap(err, "parse CA key")
 	}
-	private, ok := key.(ed25519.PrivateKey)
-	if !ok || !private.Public().(ed25519.PublicKey).Equal(certificate.PublicKey) {
+	privateKey, ok := key.(ed25519.PrivateKey)
+	if !ok || !privateKey.Public().(ed25519.PublicKey).Equal(certificate.PublicKey) {
 		return nil, eris.Errorf("read CA: ca.key in %s does not belong to ca.crt", dir)
 	}
-	return &CA{certificate: certificate, key: private}, nil
+	return &CA{certificate: certificate, key: privateKey}, nil
 }
 
-// Issue writes the certificate and key of an instance to dir, as <id>.crt and
-// <id>.key.
+// Issue creates the certificate and key of an instance and writes them to dir
+// as <id>.crt and <id>.key. It fails if either file exists.
 func (ca *CA) Issue(dir string, id ids.Instance, validity time.Duration) error {
 	if !ids.ValidName(string(id)) {
 		return eris.Errorf("issue certificate: %q must be %s", id, ids.NameRule)
 	}
-	public, private, err := ed25519.GenerateKey(rand.Reader)
+	publicKey, privateKey, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
 		return eris.Wrap(err, "create instance key")
 	}
@@ -105,17 +106,17 @@
 	template.DNSNames = []string{string(id)}
 	template.KeyUsage = x509.KeyUsageDigitalSignature
 	template.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}
-	der, err := x509.CreateCertificate(rand.Reader, template, ca.certificate, public, ca.key)
+	der, err := x509.CreateCertificate(rand.Reader, template, ca.certificate, publicKey, ca.key)
 	if err != nil {
 		return eris.Wrapf(err, "create certificate of %s", id)
 	}
-	return writePair(dir, string(id), der, private)
+	return writeKeyPair(dir, string(id), der, privateKey)
 }
 
 func newTemplate(name string, validity time.Duration) (*x509.Certificate, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 127))
 	if err != nil {
-		return nil, eris.Wrap(err, "draw serial number")
+		return nil, eris.Wrap(err, "generate serial number")
 	}
 	now := time.Now()
 	return &x509.Certificate{
@@ -126,20 +127,20 @@
 	}, nil
 }
 
-func writePair(dir, name string, der []byte, private ed25519.PrivateKey) error {
-	key, err := x509.MarshalPKCS8PrivateKey(private)
+func writeKeyPair(dir, name string, der []byte, privateKey ed25519.PrivateKey) error {
+	key, err := x509.MarshalPKCS8PrivateKey(privateKey)
 	if err != nil {
 		return eris.Wrap(err, "encode key")
 	}
-	if err := create(filepath.Join(dir, name+".key"), pem.EncodeToMemory(&pem.Block{Type: keyBlock, Bytes: key}), 0o600); err != nil {
+	if err := writeNewFile(filepath.Join(dir, name+".key"), pem.EncodeToMemory(&pem.Block{Type: keyPEMType, Bytes: key}), 0o600); err != nil {
 		return err
 	}
-	return create(filepath.Join(dir, name+".crt"), pem.EncodeToMemory(&pem.Block{Type: certificateBlock, Bytes: der}), 0o644)
+	return writeNewFile(filepath.Join(dir, name+".crt"), pem.EncodeToMemory(&pem.Block{Type: certificatePEMType, Bytes: der}), 0o644)
 }
 
-// create writes a new file. It never replaces one: a lost CA or admission key
-// invalidates what was issued under it.
-func create(path string, data []byte, mode os.FileMode) error {
+// writeNewFile creates a file and fails if it exists: replacing a CA or
+// admission key would invalidate all certificates or tokens issued with it.
+func writeNewFile(path string, data []byte, mode os.FileMode) error {
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, mode)
 	if err != nil {
 		return eris.Wrap(err, "create key file")
@@ -148,36 +149,37 @@
 	return eris.Wrapf(errors.Join(err, f.Close()), "write %s", path)
 }
 
-func readBlock(path, kind string) ([]byte, error) {
+func readPEMBlock(path, pemType string) ([]byte, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, eris.Wrap(err, "read key file")
 	}
 	block, _ := pem.Decode(data)
-	if block == nil || block.Type != kind {
-		return nil, eris.Errorf("read %s: no PEM block of type %s", path, kind)
+	if block == nil || block.Type != pemType {
+		return nil, eris.Errorf("read %s: no PEM block of type %s", path, pemType)
 	}
 	return block.Bytes, nil
 }
 
-// CreateAdmissionKey writes a new admission key to dir as admission-<id>.key,
-// 64 hexadecimal digits.
+// CreateAdmissionKey writes a new random admission key to dir as
+// admission-<id>.key, encoded as 64 hexadecimal digits. It fails if the file
+// exists.
 func CreateAdmissionKey(dir string, id uint8) error {
 	key := make([]byte, AdmissionKeyBytes)
 	if _, err := rand.Read(key); err != nil {
-		return eris.Wrap(err, "draw admission key")
+		return eris.Wrap(err, "generate admission key")
 	}
-	return create(filepath.Join(dir, fmt.Sprintf("admission-%d.key", id)), []byte(hex.EncodeToString(key)+"\n"), 0o600)
+	return writeNewFile(filepath.Join(dir, fmt.Sprintf("admission-%d.key", id)), []byte(hex.EncodeToString(key)+"\n"), 0o600)
 }
 
-// LoadAdmissionKey reads an admission key file.
+// LoadAdmissionKey reads and decodes an admission key file.
 func LoadAdmissionKey(path string) ([]byte, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, eris.Wrap(err, "read admission key")
 	}
-	if len(data) > maxKeyFile {
-		return nil, eris.Errorf("read admission key: %s is larger than %d bytes", path, maxKeyFile)
+	if len(data) > maxKeyFileBytes {
+		return nil, eris.Errorf("read admission key: %s is larger than %d bytes", path, maxKeyFileBytes)
 	}
 	key, err := hex.DecodeString(strings.TrimSpace(string(data)))
 	if err != nil || len(key) != AdmissionKeyBytes {
--- a/internal/reload/reload_test.go
+++ b/internal/reload/reload_test.go
@@ -18,8 +18,8 @@
 	"arbutusdock.example/arbutusdock/internal/telemetry"
 )
 
-// Guards against an instance for CoAP whose settings cannot be read again, and
-// against a file that would change the kind of its traffic.
+// Guards against a CoAP instance whose settings cannot be reloaded, and against
+// accepting a file that would turn it into a pass-through instance.
 func TestReloadCoAP(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "settings.toml")
 	text, err := os.ReadFile("../../docs/examples/arbutusdockd.toml")
@@ -39,9 +39,9 @@
 	assert.Equal(t, level.Level(), slog.LevelDebug)
 }
 
-// Guards against settings that are not read again when the file changes without a
-// signal, against a file with faults that changes anything, and against changes
-// that need a restart and are not reported.
+// Guards against settings that are not reloaded when the file changes without a
+// signal, against an invalid file that changes the log level, and against
+// changes that need a restart and are not reported.
 func TestReload(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "settings.toml")
 	write := func(level, extra string) {
@@ -55,7 +55,7 @@
 	level := new(slog.LevelVar)
 	level.Set(s.Passthrough.Log.Level)
 	w := New(s, level, telemetry.NewLogger(&log, level, "a"))
-	last := func() string {
+	lastLine := func() string {
 		lines := strings.Split(strings.TrimSpace(log.String()), "\n")
 		return lines[len(lines)-1]
 	}
@@ -64,14 +64,14 @@
 	assert.Equal(t, w.level.Level(), slog.LevelWarn)
 	write("info", "")
 	w.apply("signal")
-	assert.Assert(t, strings.HasSuffix(last(), "msg=reloaded instance=a cause=signal log_level=INFO restart_needed=false"), last())
+	assert.Assert(t, strings.HasSuffix(lastLine(), "msg=reloaded instance=a cause=signal log_level=INFO restart_needed=false"), lastLine())
 	write("debug", "grace='1ms'\n")
 	w.apply("signal")
-	assert.Assert(t, strings.Contains(last(), "msg=reload-refused"), last())
+	assert.Assert(t, strings.Contains(lastLine(), "msg=reload-refused"), lastLine())
 	assert.Equal(t, w.level.Level(), slog.LevelInfo)
 	write("info", "grace='9s'\n")
 	w.apply("signal")
-	assert.Assert(t, strings.HasSuffix(last(), "restart_needed=true"), last())
+	assert.Assert(t, strings.HasSuffix(lastLine(), "restart_needed=true"), lastLine())
 
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -79,7 +79,7 @@
 	time.Sleep(50 * time.Millisecond)
 	write("debug", "")
 	assert.NilError(t, os.Chtimes(file, time.Now(), time.Now().Add(time.Minute)))
-	for range 2 * settingsPoll / (100 * time.Millisecond) {
+	for range 2 * pollInterval / (100 * time.Millisecond) {
 		if w.level.Level() == slog.LevelDebug {
 			break
 		}
--- a/internal/standin/backend/handle.go
+++ b/internal/standin/backend/handle.go
@@ -21,58 +21,60 @@
 type responseWriter = responsewriter.ResponseWriter[*client.Conn]
 
 const (
-	// separateAfter is the run time from which a request is acknowledged at
-	// once and answered separately, so that its sender does not retransmit.
-	separateAfter = 150 * time.Millisecond
-	// respondFor bounds the transmission of a separate response.
-	respondFor = 10 * time.Second
-	shortBytes = 300      // size of an ordinary content
-	certBytes  = 4 << 10  // size of an ordinary certificate
-	largeBytes = 60 << 10 // size of a large certificate
-	blockSZX   = 6        // blocks of 1024 bytes
-	blockBytes = 16 << blockSZX
+	// separateResponseMinRunTime is the run time from which a request is
+	// acknowledged immediately and answered with a separate response, so that the
+	// sender does not retransmit it.
+	separateResponseMinRunTime = 150 * time.Millisecond
+	// separateResponseTimeout limits the time from the start of a request until its
+	// separate response is acknowledged.
+	separateResponseTimeout = 10 * time.Second
+	defaultContentSize      = 300      // size of an ordinary response content
+	certificateSize         = 4 << 10  // size of an ordinary certificate
+	largeCertificateSize    = 60 << 10 // size of a large certificate
+	blockSZX                = 6        // blocks of 1024 bytes
+	blockSize               = 16 << blockSZX
 )
 
-// request is the part of a CoAP request that the stand-in reads.
+// request holds the parts of a CoAP request that the stand-in evaluates.
 type request struct {
-	id       wire.ID
-	asked    string // operation whose outcome is asked for
-	path     []string
-	token    message.Token
-	post     bool
-	observe  int // -1: absent
-	block    int // number of the requested block
-	large    bool
-	deadline time.Duration // 0: none
+	id        wire.ID
+	outcomeOf string // operation id of an outcome query; empty otherwise
+	path      []string
+	token     message.Token
+	post      bool
+	observe   int // -1: option absent
+	block     int // number of the requested block
+	large     bool
+	deadline  time.Duration // 0: none
 }
 
-func parse(r *pool.Message) request {
-	q := request{observe: -1, post: r.Code() == codes.POST, token: bytes.Clone(r.Token())}
+func parseRequest(r *pool.Message) request {
+	req := request{observe: -1, post: r.Code() == codes.POST, token: bytes.Clone(r.Token())}
 	for _, o := range r.Options() {
 		switch o.ID {
 		case message.URIPath:
-			q.path = append(q.path, string(o.Value))
+			req.path = append(req.path, string(o.Value))
 		case message.URIQuery:
 			k, v, _ := strings.Cut(string(o.Value), "=")
 			switch k {
 			case "id":
-				q.id, _ = wire.ParseID(v) // a malformed id counts as a foreign request
+				req.id, _ = wire.ParseID(v) // a malformed id is handled as a request of another service
 			case "op":
-				q.asked = v
+				req.outcomeOf = v
 			}
 		case message.Observe:
-			q.observe = int(number(o.Value))
+			req.observe = int(uintValue(o.Value))
 		case message.Block2:
-			q.block = int(number(o.Value) >> 4)
+			req.block = int(uintValue(o.Value) >> 4)
 		case wire.DeadlineOption:
-			q.deadline = time.Duration(number(o.Value)) * time.Millisecond
+			req.deadline = time.Duration(uintValue(o.Value)) * time.Millisecond
 		}
 	}
-	q.large = len(q.path) == 2 && strings.HasPrefix(q.path[1], "large")
-	return q
+	req.large = len(req.path) == 2 && strings.HasPrefix(req.path[1], "large")
+	return req
 }
 
-func number(b []byte) uint64 {
+func uintValue(b []byte) uint64 {
 	var v [8]byte
 	if len(b) > 8 {
 		return 0
@@ -81,125 +83,126 @@
 	return binary.BigEndian.Uint64(v[:])
 }
 
-// handle answers one request; see request for what it reads.
+// handle processes one received message and responds if it is a request.
 func (s *Server) handle(w *responseWriter, r *pool.Message) {
 	if r.Code() < codes.GET || r.Code() > codes.DELETE {
 		return // a response or an empty message
 	}
-	q := parse(r)
-	k := exchange{peer: w.Conn().RemoteAddr().String(), mid: r.MessageID()}
-	// go-coap's deregistration carries the path but no query, hence no id.
-	foreign := q.id.Service != s.service && q.observe != 1
+	req := parseRequest(r)
+	key := messageKey{peer: w.Conn().RemoteAddr().String(), messageID: r.MessageID()}
+	// A deregistration sent by go-coap contains the path but no query, so it has no
+	// request id.
+	wrongService := req.id.Service != s.service && req.observe != 1
 	s.mu.Lock()
 	s.counts.Requests++
-	if foreign {
-		s.counts.Foreign++
+	if wrongService {
+		s.counts.WrongService++
 	}
 	s.mu.Unlock()
 	switch {
-	case foreign:
-		s.respond(w.Message(), codes.NotFound, nil, 0)
-	case q.asked != "":
+	case wrongService:
+		s.setResponse(w.Message(), codes.NotFound, nil, 0)
+	case req.outcomeOf != "":
 		state := "none"
-		if s.group.ledger.ran(q.asked) {
+		if s.group.executions.hasRun(req.outcomeOf) {
 			state = "ran"
 		}
-		s.respond(w.Message(), codes.Content, wire.Content(s.service, q.id.String(), state, 0), 0)
-	case q.observe == 0:
-		s.register(w, q)
-	case q.observe == 1:
-		s.deregister(k.peer, q.token)
-		s.respond(w.Message(), codes.Content, s.reading(q.feed()), 0)
-	case q.block > 0:
-		s.group.ledger.block(q.id)
-		s.respond(w.Message(), codes.Content, s.content(q), q.block)
+		s.setResponse(w.Message(), codes.Content, wire.Content(s.service, req.id.String(), state, 0), 0)
+	case req.observe == 0:
+		s.registerObserver(w, req)
+	case req.observe == 1:
+		s.deregisterObserver(key.peer, req.token)
+		s.setResponse(w.Message(), codes.Content, s.currentReading(req.feedName()), 0)
+	case req.block > 0:
+		s.group.executions.countBlock(req.id)
+		s.setResponse(w.Message(), codes.Content, s.responseContent(req), req.block)
 	default:
-		s.run(w, q, k)
+		s.handleExecution(w, req, key)
 	}
 }
 
-// run executes a request and responds with the ACK, or separately when the
-// request takes long.
-func (s *Server) run(w *responseWriter, q request, k exchange) {
+// handleExecution executes a request. The response is piggybacked on the ACK, or
+// sent separately if the request takes long.
+func (s *Server) handleExecution(w *responseWriter, req request, key messageKey) {
 	ctx, stop := context.Background(), context.CancelFunc(func() {})
-	if q.deadline > 0 {
-		ctx, stop = context.WithTimeout(ctx, q.deadline)
+	if req.deadline > 0 {
+		ctx, stop = context.WithTimeout(ctx, req.deadline)
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	s.mu.Lock()
-	s.jobs[k] = cancel
+	s.cancelFuncs[key] = cancel
 	s.mu.Unlock()
 	finish := func(m *pool.Message) bool {
-		err := s.execute(ctx, q.id, q.post, q.large)
+		err := s.execute(ctx, req.id, req.post, req.large)
 		cancel(nil)
 		stop()
 		s.mu.Lock()
-		delete(s.jobs, k)
+		delete(s.cancelFuncs, key)
 		s.mu.Unlock()
-		return s.outcome(m, q, err)
+		return s.setResult(m, req, err)
 	}
-	if s.group.opt.Run[s.service] < separateAfter && !q.large {
+	if s.group.opt.RunTime[s.service] < separateResponseMinRunTime && !req.large {
 		finish(w.Message())
 		return
 	}
 	cc := w.Conn()
 	go func() {
-		ctx, stop := context.WithTimeout(cc.Context(), respondFor)
+		ctx, stop := context.WithTimeout(cc.Context(), separateResponseTimeout)
 		defer stop()
 		m := cc.AcquireMessage(ctx)
 		defer cc.ReleaseMessage(m)
-		m.SetToken(q.token)
+		m.SetToken(req.token)
 		if finish(m) {
-			_ = cc.WriteMessage(m) // without an ACK the sender's deadline ends the request
+			_ = cc.WriteMessage(m) // if no ACK arrives, the sender's deadline ends the request
 		}
 	}()
 }
 
-// outcome sets the response for the result of an execution. It returns false
-// when there is nothing to respond.
-func (s *Server) outcome(m *pool.Message, q request, err error) bool {
+// setResult sets the response for the result of an execution. It returns false if
+// no response is to be sent.
+func (s *Server) setResult(m *pool.Message, req request, err error) bool {
 	switch {
 	case err == nil:
 		code := codes.Content
-		if q.post {
+		if req.post {
 			code = codes.Changed
 		}
-		s.respond(m, code, s.content(q), 0)
-	case errors.Is(err, errShed):
-		s.respond(m, codes.ServiceUnavailable, nil, 0)
+		s.setResponse(m, code, s.responseContent(req), 0)
+	case errors.Is(err, errOverloaded):
+		s.setResponse(m, codes.ServiceUnavailable, nil, 0)
 		m.SetOptionUint32(message.MaxAge, 1)
 	case errors.Is(err, errCancelled):
-		s.count(func(c *wire.TargetCounts) { c.Cancelled++ })
+		s.updateCounts(func(c *wire.TargetCounts) { c.Cancelled++ })
 		return false
 	default:
-		s.count(func(c *wire.TargetCounts) { c.Expired++ })
-		s.respond(m, codes.GatewayTimeout, nil, 0)
+		s.updateCounts(func(c *wire.TargetCounts) { c.Expired++ })
+		s.setResponse(m, codes.GatewayTimeout, nil, 0)
 	}
 	return true
 }
 
-func (s *Server) content(q request) []byte {
-	size := shortBytes
-	if len(q.path) > 0 && q.path[0] == "certificates" {
-		size = certBytes
+func (s *Server) responseContent(req request) []byte {
+	size := defaultContentSize
+	if len(req.path) > 0 && req.path[0] == "certificates" {
+		size = certificateSize
 	}
-	if q.large {
-		size = largeBytes
+	if req.large {
+		size = largeCertificateSize
 	}
-	return wire.Content(s.service, q.id.String(), "ran", size)
+	return wire.Content(s.service, req.id.String(), "ran", size)
 }
 
-// respond sets code and content, and cuts out one block if the content does
-// not fit into one. The blocks of a content can come from any server, since the
-// entity tag depends on the content only.
-func (s *Server) respond(m *pool.Message, code codes.Code, content []byte, block int) {
+// setResponse sets the code and content of a response. If the content exceeds one
+// block, only the requested block is set. The blocks of one content can come from
+// different servers, since the entity tag depends only on the content.
+func (s *Server) setResponse(m *pool.Message, code codes.Code, content []byte, block int) {
 	m.SetCode(code)
 	if content == nil {
 		return
 	}
-	if len(content) > blockBytes {
-		from := min(block*blockBytes, len(content))
-		to := min(from+blockBytes, len(content))
+	if len(content) > blockSize {
+		from := min(block*blockSize, len(content))
+		to := min(from+blockSize, len(content))
 		value := uint32(block)<<4 | blockSZX
 		if to < len(content) {
 			value |= 1 << 3
@@ -212,7 +215,7 @@
 	m.SetBody(io.ReadSeeker(bytes.NewReader(content)))
 }
 
-func (s *Server) count(change func(*wire.TargetCounts)) {
+func (s *Server) updateCounts(change func(*wire.TargetCounts)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(&s.counts)
