--- a/internal/proof/matrix_test.go
+++ b/internal/proof/matrix_test.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	faultTime = 20 * time.Second // after which the fault ends
-	// probeTime is how long before the end of a fault of a backend server the
-	// requests start that must reach other backend servers. At most
-	// maxFailedRequests of them may fail, as some probe the failed server.
+	faultTime = 20 * time.Second // duration of a fault
+	// probeTime is the last part of a fault of a backend server, in which requests
+	// must reach other backend servers. At most maxFailedRequests of them may fail,
+	// as some are used to probe the failed server.
 	probeTime         = 6 * time.Second
 	maxFailedRequests = 3
 	// feedBound is the time within which a feed is restored after an unplanned
