--- a/internal/config/document_error.go
+++ b/internal/config/document_error.go
@@ -41,7 +41,7 @@
 // faults collects the faults of one document.
 type faults struct {
 	document string
-	lines    map[string]int
+	lines    map[string]int // line number by key path
 	list     []Fault
 }
 
--- a/internal/config/sync.go
+++ b/internal/config/sync.go
@@ -91,7 +91,7 @@
 	ready        bool
 	readComplete bool         // a read since startedAt returned nothing newer
 	moreExpected bool         // the last read returned changes, so more may follow
-	readRevision ids.Revision // the last read or watch requested the changes after it
+	readRevision ids.Revision // the last read or watch requested the changes after this revision
 
 	queriedPeer         ids.Instance // peer with an open request; empty when none
 	queriedAt           ids.Time
@@ -102,10 +102,10 @@
 	watchInFlight       bool          // the open request is a watch
 	readSentAt          ids.Time
 	platformRevision    ids.Revision // highest revision that the platform reported
-	nextReadAt          ids.Time     // no read or watch before
+	nextReadAt          ids.Time     // no read or watch starts before this time
 	backoff             time.Duration
 	nextPollAt          ids.Time
-	lastHeartbeatAt     ids.Time      // last heartbeat of a peer, or a later start of the wait for one
+	lastHeartbeatAt     ids.Time      // time of the last heartbeat of a peer, or a later start of the wait for one
 	silenceLimit        time.Duration // time without heartbeats after which the platform is read
 
 	serving []ids.Instance // the list from which watcher was computed
--- a/internal/config/sync_test.go
+++ b/internal/config/sync_test.go
@@ -83,7 +83,7 @@
 // Guards against a joining instance that reads the platform although a peer has
 // the complete configuration, or that becomes ready before it has the newest
 // configuration found.
-func TestJoinAsksPeersFirst(t *testing.T) {
+func TestJoinQueriesPeersFirst(t *testing.T) {
 	f := newSyncHarness(t)
 	f.peers["b"], f.platform = storeAt(5), storeAt(5)
 	f.syncer.ObserveRevision(f.now, "b", 5)
--- a/internal/fanout/client.go
+++ b/internal/fanout/client.go
@@ -26,8 +26,8 @@
 	// maxMessageBytes bounds the size of a message. It fits a configuration of
 	// 29,000 routes of 250 bytes each.
 	maxMessageBytes = 8 << 20
-	// maxTargets bounds the number of targets in an update. It is ten times that of
-	// the largest expected deployment.
+	// maxTargets bounds the number of targets in an update. It is ten times the
+	// number of targets in the largest expected deployment.
 	maxTargets = 300_000
 )
 
--- a/internal/fanout/server.go
+++ b/internal/fanout/server.go
@@ -134,8 +134,8 @@
 	return w.Close()
 }
 
-// announcement is the request by which an instance announces itself to a seed, or
-// its shutdown.
+// announcement is the request by which an instance announces itself, or its
+// shutdown, to a seed.
 type announcement struct {
 	dataCentre ids.DataCentre
 	self       Instance
--- a/internal/fanout/source.go
+++ b/internal/fanout/source.go
@@ -197,7 +197,7 @@
 }
 
 // sources returns the instances that this one may follow, in order of preference. It
-// returns none when the ranking has expired.
+// returns nil when the ranking has expired.
 func (s *Source) sources() []Instance {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -215,8 +215,8 @@
 // ReadAll implements follow.Source. It reads the platform first. If that fails or
 // takes too long, it accepts the state of any instance, preferably of the same data
 // centre and regardless of age: an instance cannot serve without a state, and reads
-// the later changes from there. The read of the platform continues in parallel as
-// long as it makes progress.
+// the changes made since then afterwards. The read of the platform continues in
+// parallel as long as it makes progress.
 func (s *Source) ReadAll(ctx context.Context, timeout time.Duration) (follow.Update, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel() // cancels the remaining reads
--- a/internal/fanout/source_test.go
+++ b/internal/fanout/source_test.go
@@ -182,7 +182,7 @@
 
 // Guards against instances that copy each other's outdated state indefinitely: the
 // platform has lost the changes after it, and a full read of the platform takes longer
-// than one of another instance. Found by TestMemoryAtTargetSize of the soak.
+// than one of another instance. Found by TestMemoryAtTargetSize of the soak test.
 func TestLostHistoryNeedsNewerState(t *testing.T) {
 	p := &platformStub{}
 	p.historyLost.Store(true)
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -170,7 +170,7 @@
 	return err
 }
 
-// closeTracer flushes the buffered spans.
+// closeTracer closes the tracer, which flushes the buffered spans.
 func (f *Forwarder) closeTracer() {
 	ctx, cancel := context.WithTimeout(context.Background(), exitMargin/2)
 	defer cancel()
--- a/internal/forwarder/memory.go
+++ b/internal/forwarder/memory.go
@@ -9,9 +9,10 @@
 
 const (
 	// baseHeapLimit is the minimum memory limit of the Go runtime in bytes. At the
-	// target size the published state keeps a live heap of 22 MB, and the control
-	// functions may use 64 MB. With the default garbage collector target, which lets
-	// the heap double, and the garbage of a full read, a process peaked at 103 MB.
+	// deployment size for which the system is designed, the published state keeps a
+	// live heap of 22 MB, and the control functions may use 64 MB. With the default
+	// garbage collector setting, which lets the heap double, and the garbage of a full
+	// read, a process peaked at 103 MB.
 	baseHeapLimit = 38 << 20
 	// heapHeadroom is the minimum ratio of the limit to the live heap. With a lower
 	// limit the garbage collector would run continuously.
--- a/internal/forwarder/memory_test.go
+++ b/internal/forwarder/memory_test.go
@@ -7,8 +7,9 @@
 )
 
 // Guards against a limit that allows the control functions more than their share of
-// memory at the target size, that makes the garbage collector run continuously above
-// that size, or that exceeds the memory limit of the process.
+// memory at the deployment size for which the system is designed, that makes the
+// garbage collector run continuously above that size, or that exceeds the memory limit
+// of the process.
 func TestHeapLimit(t *testing.T) {
 	const mb = 1 << 20
 	assert.Equal(t, heapLimit(3*mb, 0), int64(baseHeapLimit))
--- a/internal/member/clock.go
+++ b/internal/member/clock.go
@@ -13,7 +13,7 @@
 // clockOffset estimates the offset of the clock of a peer.
 type clockOffset struct {
 	started       ids.Time
-	best, earlier time.Duration // largest sample of the present and of the last window
+	best, earlier time.Duration // largest sample of the current and of the previous window
 	hasEarlier    bool
 }
 
--- a/internal/member/gossip.go
+++ b/internal/member/gossip.go
@@ -62,8 +62,8 @@
 	// burst of heartbeats that a link allows, 2 s at 2 KB/s.
 	maxUpdateBudget = 2 << 10
 
-	// sendRate is the share of sent traffic, in bytes a second, of the limit of
-	// 2 KB/s for control traffic in both directions. maxDeltaBudget allows a
+	// sendRate is the part of the limit of 2 KB/s for control traffic in both
+	// directions that is used for sending, in bytes a second. maxDeltaBudget allows a
 	// complete view of 500 members to be sent to a joining instance at once.
 	// heartbeatBytes and recordBytes are sizes in CBOR.
 	// minBudgetRate is the minimum rate, in bytes a second, at which the budgets
@@ -260,19 +260,19 @@
 	v.fullRequestTo = id
 }
 
-// HandleDelta merges the records in d. If Reply is set, d is a request: with at
-// most the record of the sender it asks for the complete view, with more records
-// for the latest changes.
+// HandleDelta merges the records in d. If Reply is set, d is also a request: a
+// delta with at most one record, that of the sender, requests the complete view; a
+// delta with more records requests the latest changes.
 func (v *View) HandleDelta(now ids.Time, from ids.Instance, d *peerwire.MemberDelta) {
 	v.advance(now)
 	if from == v.id || from == "" {
 		return
 	}
 	i := v.linkIndex(from)
-	joinsRunning := !v.synced && mostlyServing(d.Members)
+	joinsRunningDataCentre := !v.synced && mostlyServing(d.Members)
 	for k := range d.Members {
 		v.merge(&d.Members[k], i)
-		if r := v.members[d.Members[k].ID]; joinsRunning && r != nil && r != v.self {
+		if r := v.members[d.Members[k].ID]; joinsRunningDataCentre && r != nil && r != v.self {
 			r.fullViewOnly = true
 		}
 	}
@@ -357,9 +357,9 @@
 	}
 }
 
-// expireKnown lets records be sent again, after resendDelay, to a peer that
-// requests a complete view although it was sent them, since messages may have
-// been lost.
+// expireKnown marks every record as unknown to the peer of a link if resendDelay
+// has passed since this was last done. The records are then sent again to a peer
+// that requests a complete view, since earlier messages may have been lost.
 func (v *View) expireKnown(index int) {
 	if index < 0 || v.now.Sub(v.links[index].knownSince) < resendDelay {
 		return
--- a/internal/member/merge.go
+++ b/internal/member/merge.go
@@ -147,7 +147,7 @@
 		if in.Lifecycle == peerwire.Gone {
 			in.Lifecycle = r.Lifecycle
 		}
-		if !newer(&in, &r.Member) && !newer(&r.Member, &in) && !r.Suspected && v.recentlyHeard(r.ID) {
+		if !newer(&in, &r.Member) && !newer(&r.Member, &in) && !r.Suspected && v.hasRecentHeartbeat(r.ID) {
 			v.queueRecord(r.ID, in)
 			return
 		}
--- a/internal/member/neighbours.go
+++ b/internal/member/neighbours.go
@@ -13,8 +13,8 @@
 	// maxFullMesh is the number of instances up to which each one keeps a link to
 	// every other.
 	maxFullMesh = 9
-	// maxLinks is the maximum number of neighbours with more instances: two on each
-	// ring.
+	// maxLinks is the maximum number of neighbours when there are more than
+	// maxFullMesh instances: two on each ring.
 	maxLinks = 8
 	rings    = maxLinks / 2
 	// ringHashSeed separates the ring hashes from other uses of the id hash.
@@ -106,9 +106,9 @@
 	return -1
 }
 
-// recentlyHeard reports whether a recent heartbeat on the link to id shows that it
+// hasRecentHeartbeat reports whether a recent heartbeat on the link to id shows that it
 // is alive, which outweighs a suspicion by other instances.
-func (v *View) recentlyHeard(id ids.Instance) bool {
+func (v *View) hasRecentHeartbeat(id ids.Instance) bool {
 	i := v.linkIndex(id)
 	return i >= 0 && v.links[i].heartbeatReceived && v.now.Sub(v.links[i].lastHeartbeatAt) <= 2*v.intervals.expected(v.now)
 }
@@ -152,7 +152,7 @@
 		*l = link{id: id, sentChangeSeq: v.lastChangeSeq, knownSince: v.now}
 		l.restartDeadlines(v.now)
 		v.clearKnown(i)
-		// The peer receives the record of this instance even if it has none.
+		// The peer may not have the record of this instance yet.
 		l.queued = append(l.queued, v.self.Member)
 		return
 	}
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -93,9 +93,9 @@
 	members       map[ids.Instance]*record
 	byIncarnation map[ids.Incarnation]*record
 	successors    map[ids.Incarnation]successor
-	digest        uint64 // XOR of the hashes of all records
-	suspected     int    // number of members that are suspected and not yet gone
-	superseded    ids.Incarnation
+	digest        uint64          // XOR of the hashes of all records
+	suspected     int             // number of members that are suspected and not yet gone
+	superseded    ids.Incarnation // highest incarnation above that of self reported for id; 0 for none
 
 	serving        []ids.Instance
 	servingStale   bool // serving has to be computed again
--- a/internal/passthrough/choose.go
+++ b/internal/passthrough/choose.go
@@ -8,15 +8,16 @@
 
 const (
 	// idleFlowLoad is the load of an open flow without an active request, in
-	// requests: a long flow has an active request for a few hundredths of the time.
+	// requests: a long flow has an active request for a few percent of the time.
 	idleFlowLoad = 0.03
 	// remotePenalty is the load per slot by which the targets of the local data
 	// centre must exceed those of other data centres before a flow is placed
 	// remotely: a flow across data centres breaks when a partition separates them.
 	// The penalty falls to minRemotePenalty as the pressure on the local data
-	// centre rises from the low to the high pressure given below. The pressures for
-	// flows with a single request are lower than for long flows, because a short
-	// flow usually ends before a partition could affect it.
+	// centre, in active requests per slot, rises from the low to the high pressure
+	// given below. The pressures for flows with a single request are lower than for
+	// long flows, because a short flow usually ends before a partition could affect
+	// it.
 	remotePenalty         = 4.0
 	minRemotePenalty      = 0.25
 	regionPenalty         = 2.0 // added for another region: the round trip takes as long as running a request
@@ -24,7 +25,8 @@
 	shortFlowHighPressure = 1.0
 	longFlowLowPressure   = 0.8
 	longFlowHighPressure  = 1.6
-	// slowStartFactor is the factor by which a target in slow start is slower.
+	// slowStartFactor multiplies the load of a target in slow start, which runs
+	// requests more slowly.
 	slowStartFactor = 1.6
 	// maxLocalSample and maxRemoteSample bound the numbers of local and remote
 	// candidates that are compared for a new flow. Longer lists are sampled at
@@ -40,7 +42,7 @@
 
 // selection holds the best candidates found so far for a new flow.
 type selection struct {
-	best, fallback         *target // fallback is excluded by suspicion, or is the target to avoid
+	best, fallback         *target // fallback is a suspected target or the target to avoid
 	bestLoad, fallbackLoad float64
 }
 
--- a/internal/passthrough/core.go
+++ b/internal/passthrough/core.go
@@ -87,7 +87,7 @@
 
 func (r Reason) String() string { return reasonNames[r] }
 
-// Decision tells what to do with a packet. A forwarded packet is sent to Address
+// Decision specifies how to handle a packet. A forwarded packet is sent to Address
 // with Identity as its destination. If Reason is Placed, Replaced or Repeated,
 // Cookie is written into the packet.
 type Decision struct {
@@ -141,8 +141,8 @@
 	return d
 }
 
-// resetRemovedRoute resets an open flow whose route has been removed. A reset of
-// the caller is not answered with a reset.
+// resetRemovedRoute resets an open flow whose route has been removed. A reset
+// packet from the caller is not answered with a reset.
 func (c *Core) resetRemovedRoute(p *Packet) Decision {
 	if f := c.flows.get(p.Flow); f != nil {
 		c.removeFlow(f)
@@ -207,7 +207,8 @@
 // noTargetDecision resets a new flow whose service has no target. Within
 // recordGracePeriod after the first list of targets or after an outage of the
 // platform it drops the packet instead: the records of live targets may have
-// expired, and one may be back for the next copy of the opening packet.
+// expired, and one may have been published again when the next copy of the opening
+// packet arrives.
 func (c *Core) noTargetDecision(now ids.Time, service ids.Service) Decision {
 	d := Decision{Reason: NoTarget, Service: service}
 	if c.listReceivedAt != 0 && now.Sub(max(c.listReceivedAt, c.platformRecoveredAt)) >= recordGracePeriod {
@@ -309,7 +310,7 @@
 	}
 }
 
-// target returns the target of f, or nil if its state has been deleted.
+// target returns the target of f, or nil if the target's state has been deleted.
 func (c *Core) target(f *flow) *target { return c.targets.byIndex(f.target, f.generation) }
 
 // requestsPerFlowWeight is the weight of one flow in the moving average of the
@@ -321,7 +322,7 @@
 )
 
 // hasLongFlows reports whether flows to an address usually carry several
-// requests. It returns true for an address without data.
+// requests. It returns true for an address without an average yet.
 func (c *Core) hasLongFlows(to Endpoint) bool {
 	average, known := c.requestsPerFlow[to]
 	return !known || average > longFlowRequests
--- a/internal/passthrough/core_test.go
+++ b/internal/passthrough/core_test.go
@@ -54,8 +54,8 @@
 	return FlowKey{Caller: Endpoint{IP: [4]byte{100, 64, byte(n >> 8), byte(n)}, Port: 40000}, Service: to}
 }
 
-func openingPacket(f FlowKey, n uint32) *Packet {
-	return &Packet{Flow: f, Flags: SYN, Seq: 100, Ack: n}
+func openingPacket(f FlowKey, copyNumber uint32) *Packet {
+	return &Packet{Flow: f, Flags: SYN, Seq: 100, Ack: copyNumber}
 }
 
 // requestPacket returns the first packet that a caller sends after its opening
--- a/internal/passthrough/inspect.go
+++ b/internal/passthrough/inspect.go
@@ -22,7 +22,7 @@
 	Shadowed   bool          // gets no flows because an older target has the same cookie
 	Busy       int           // active requests from this instance
 	Flows      int           // open flows from this instance
-	Load       float64       // by which targets are compared; the lowest is chosen
+	Load       float64       // load per slot; the candidate with the lowest load is chosen
 }
 
 // Snapshot is a copy of the state of a core.
--- a/internal/passthrough/load_test.go
+++ b/internal/passthrough/load_test.go
@@ -260,7 +260,7 @@
 		s.requests, s.late, s.rejected, s.avoidableRejections, s.unanswered, s.delayedOpenings, s.failed, s.longRuns, s.remoteFlows)
 }
 
-// assertShare asserts that n is at most the share limit of all requests.
+// assertShare asserts that n is at most the fraction limit of all requests.
 func (s *simulation) assertShare(t *testing.T, what string, n int, limit float64) {
 	t.Helper()
 	assert.Assert(t, float64(n) <= limit*float64(s.requests), "%s above %g%%: %s", what, 100*limit, s)
@@ -271,7 +271,8 @@
 }
 
 // A data centre has lost targets at peak load while another one has spare capacity
-// (found by deploy/days/refused-while-leaving.toml, where the zone scored 0.905).
+// (found by deploy/days/refused-while-leaving.toml, where the data centre got a score
+// of 0.905).
 // The local targets can run 6 of the 7 requests that arrive per run time; the
 // targets of both data centres together can run twice as many requests as arrive.
 func TestDataCentreShortOfTargets(t *testing.T) {
--- a/internal/passthrough/random_test.go
+++ b/internal/passthrough/random_test.go
@@ -129,8 +129,8 @@
 			dropped := m.version[i] != 0 && m.droppedRoutes[i][f.Service]
 			assert.Assert(m.t, dropped || (got.Reason == TargetGone && m.removed[i][d.Target]), "reset of an open flow")
 		default:
-			_, told := m.usable[i][d.Target]
-			assert.Assert(m.t, !told, "a packet for a target that is known was dropped: %s", got.Reason)
+			_, usable := m.usable[i][d.Target]
+			assert.Assert(m.t, !usable, "a packet for a target that is known was dropped: %s", got.Reason)
 		}
 		return // map iteration order selects one flow at random; rapid only reproduces its own draws
 	}
--- a/internal/passthrough/target.go
+++ b/internal/passthrough/target.go
@@ -103,11 +103,11 @@
 }
 
 // byIndex returns the target with the given index and generation, or nil.
-func (tt *targetTable) byIndex(index int32, run uint32) *target {
+func (tt *targetTable) byIndex(index int32, generation uint32) *target {
 	if index < 0 || int(index) >= len(tt.slots) {
 		return nil
 	}
-	if t := tt.slots[index]; t != nil && t.generation == run {
+	if t := tt.slots[index]; t != nil && t.generation == generation {
 		return t
 	}
 	return nil
