--- a/cmd/standin/callers.go
+++ b/cmd/standin/callers.go
@@ -43,7 +43,7 @@
 	if err != nil {
 		return err
 	}
-	public, err := addresses(c.Public)
+	public, err := parseAddresses(c.Public)
 	if err != nil {
 		return err
 	}
@@ -55,15 +55,15 @@
 	for _, s := range services {
 		ports[string(s.Name)] = s.Port
 	}
-	k, err := caller.New(ctx, caller.Options{
-		User: c.User, Public: public, Ports: ports, Sources: sources, Feeds: feeds, Hosts: c.Hosts, Local: c.Local,
-		Callers: c.Callers, Duration: c.Duration, Deadline: c.Deadline, Refresh: c.Refresh, Silence: c.Silence,
-		Burst: c.Burst, Zipf: c.Zipf, Seed: c.Seed,
+	g, err := caller.New(ctx, caller.Options{
+		User: c.User, PublicIPs: public, Ports: ports, Sources: sources, Feeds: feeds, PartnerHosts: c.Hosts, FirstLocalIP: c.Local,
+		Callers: c.Callers, Duration: c.Duration, Deadline: c.Deadline, RefreshInterval: c.Refresh, SilenceTimeout: c.Silence,
+		BurstFactor: c.Burst, ZipfExponent: c.Zipf, Seed: c.Seed,
 	})
 	if err != nil {
 		return err
 	}
-	data, err := json.Marshal(k.Run(ctx))
+	data, err := json.Marshal(g.Run(ctx))
 	if err != nil {
 		return eris.Wrap(err, "encode counts")
 	}
@@ -80,14 +80,14 @@
 	var in report.Input
 	for _, b := range c.Backends {
 		var counts wire.BackendCounts
-		if err := read(b, "/counts", &counts); err != nil {
+		if err := readCounts(b, "/counts", &counts); err != nil {
 			return err
 		}
 		in.Backends = append(in.Backends, counts)
 	}
 	for _, f := range c.Callers {
 		var r wire.CallerResult
-		if err := read(f, "", &r); err != nil {
+		if err := readCounts(f, "", &r); err != nil {
 			return err
 		}
 		in.Callers = append(in.Callers, r)
@@ -102,18 +102,19 @@
 			return err
 		}
 	}
-	v := report.Judge(in)
+	v := report.Evaluate(in)
 	if err := report.Write(os.Stdout, in, v); err != nil {
 		return err
 	}
 	if !v.OK() {
-		return errBroken
+		return errGuaranteeBroken
 	}
 	return nil
 }
 
-// read decodes JSON from a file or from the path of a base URL.
-func read(source, path string, v any) error {
+// readCounts decodes JSON from source, which is a file or a base URL to which path
+// is appended.
+func readCounts(source, path string, v any) error {
 	if !strings.HasPrefix(source, "http://") {
 		data, err := os.ReadFile(source)
 		if err != nil {
@@ -129,7 +130,7 @@
 	return eris.Wrapf(json.NewDecoder(resp.Body).Decode(v), "decode %s", source)
 }
 
-// httpCmd replaces an external HTTP client in scripts.
+// httpCmd sends one HTTP request, so that scripts need no external HTTP client.
 type httpCmd struct {
 	Method string `arg:"positional,required"`
 	URL    string `arg:"positional,required"`
@@ -141,7 +142,7 @@
 	if file, ok := strings.CutPrefix(c.Body, "@"); ok {
 		var err error
 		if body, err = os.ReadFile(file); err != nil {
-			return eris.Wrap(err, "read body")
+			return eris.Wrap(err, "read request body")
 		}
 	}
 	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
@@ -155,13 +156,13 @@
 		return eris.Wrapf(err, "%s %s", c.Method, c.URL)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	out, err := io.ReadAll(resp.Body)
+	respBody, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return eris.Wrap(err, "read response")
 	}
 	if resp.StatusCode != http.StatusOK {
-		return eris.Errorf("%s %s: %s: %s", c.Method, c.URL, resp.Status, bytes.TrimSpace(out))
+		return eris.Errorf("%s %s: %s: %s", c.Method, c.URL, resp.Status, bytes.TrimSpace(respBody))
 	}
-	fmt.Print(string(out))
+	fmt.Print(string(respBody))
 	return nil
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,6 @@
-// Package settings reads the settings file of the daemon (TOML). Every fault
-// of a file is reported at once, with its line, key and allowed range.
+// Package settings parses and validates the settings file of the daemon (TOML).
+// All faults in a file are reported together, each with its line, key and
+// allowed range.
 package settings
 
 import (
@@ -14,18 +15,18 @@
 	"arbutusdock.example/arbutusdock/internal/ids"
 )
 
-// Settings of one instance.
+// Settings holds the settings of one instance.
 type Settings struct {
-	File       string // from which the settings were read
+	File       string // path of the settings file
 	Instance   ids.Instance
 	DataCentre ids.DataCentre
-	RandomSeed *uint64 // fixed seed for tests; nil draws one at start
+	RandomSeed *uint64 // fixed seed for tests; nil selects a random seed at startup
 
-	ServiceIP     netip.Addr     // address of services whose document names none
-	BackendIP     netip.Addr     // source address towards backend servers
-	PeerListen    netip.AddrPort // link listener
-	PeerAdvertise netip.AddrPort // address under which other instances reach the link listener
-	AdminListen   netip.AddrPort // loopback only
+	ServiceIP     netip.Addr     // listen address of services whose document sets none
+	BackendIP     netip.Addr     // source address of datagrams to backend servers
+	PeerListen    netip.AddrPort // listen address for links from other instances
+	PeerAdvertise netip.AddrPort // address at which other instances reach PeerListen
+	AdminListen   netip.AddrPort // listen address of the admin interface; must be a loopback address
 	PlatformURL   string
 	Seeds         []Seed
 	TLS           TLS
@@ -34,63 +35,64 @@
 	Rings         Rings
 	Log           Log
 	Trace         Trace
-	Linger        time.Duration // time for which late datagrams are relayed during a planned stop
+	Linger        time.Duration // time for which late datagrams are still relayed during a planned stop
 	HealthWorkers int           // concurrent health checks
-	HealthTimeout time.Duration // of one health check
+	HealthTimeout time.Duration // timeout of one health check
 
-	// Passthrough is set for an instance that forwards opaque flows; all other
-	// fields but File then have no meaning.
+	// Passthrough is set for a pass-through instance. All other fields except
+	// File are then unused.
 	Passthrough *Passthrough
 }
 
-// Seed is an instance that is asked for the membership at the start.
+// Seed is an instance that is contacted at startup to obtain the member list.
 type Seed struct {
 	ID         ids.Instance
 	DataCentre ids.DataCentre
 	Address    netip.AddrPort
 }
 
-// TLS names the PEM files for mutual TLS between instances.
+// TLS holds the paths of the PEM files for mutual TLS between instances.
 type TLS struct{ CA, Certificate, Key string }
 
-// Admission names the key files of admission tokens. All keys verify; the key
-// with the id Sign signs.
+// Admission configures admission tokens and the store of admitted requests.
+// Tokens are signed with the key whose id is SigningKey; all keys are accepted
+// for verification.
 type Admission struct {
 	SigningKey uint8
 	Keys       []AdmissionKey
-	MaxEntries int // requests remembered for 300 s
-	MaxBytes   int // of their responses
+	MaxEntries int // maximum number of admitted requests stored; each is stored for 300 s
+	MaxBytes   int // maximum total size of their stored responses
 }
 
-// AdmissionKey is one admission key file.
+// AdmissionKey is the id and the file of one admission key.
 type AdmissionKey struct {
 	ID   uint8
 	File string
 }
 
-// Link tunes the links to other instances.
+// Link holds the limits of the links to other instances.
 type Link struct {
-	ControlBytesPerSecond int           // bytes a second that control messages may use
-	StartupBurstBytes     int           // control bytes beyond that rate after the start
-	DataIdleTimeout       time.Duration // a data link without messages for this long is closed
-	QueueLength           int           // messages waiting for one link and lane
+	ControlBytesPerSecond int           // rate limit of control messages
+	StartupBurstBytes     int           // control bytes allowed above that rate after startup
+	DataIdleTimeout       time.Duration // a data link without messages for this time is closed
+	QueueLength           int           // maximum number of messages queued for each link and lane
 }
 
-// Rings holds the capacities of the rings between goroutines, in entries.
+// Rings holds the capacities of the ring buffers between goroutines, in entries.
 type Rings struct{ Caller, Backend, Peer, Control, Write int }
 
-// Log settings.
+// Log holds the log settings.
 type Log struct{ Level slog.Level }
 
-// Trace settings.
+// Trace holds the settings of request tracing.
 type Trace struct {
 	Exporter    string  // none, stdout or stderr
-	SampleRatio float64 // share of requests that are traced, 0 to 1
+	SampleRatio float64 // fraction of requests that are traced, 0 to 1
 }
 
-// Load reads and checks the settings file at path. File names in it are
-// relative to its directory. The error is a Faults value when the content is
-// at fault.
+// Load reads and validates the settings file at path. Relative file names in it
+// are resolved against its directory. The error is a Faults value if the
+// content is invalid.
 func Load(path string) (Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -102,23 +104,24 @@
 	}
 	s.File = path
 	dir := filepath.Dir(path)
-	s.TLS.CA = resolve(dir, s.TLS.CA)
-	s.TLS.Certificate = resolve(dir, s.TLS.Certificate)
-	s.TLS.Key = resolve(dir, s.TLS.Key)
+	s.TLS.CA = resolvePath(dir, s.TLS.CA)
+	s.TLS.Certificate = resolvePath(dir, s.TLS.Certificate)
+	s.TLS.Key = resolvePath(dir, s.TLS.Key)
 	for i := range s.Admission.Keys {
-		s.Admission.Keys[i].File = resolve(dir, s.Admission.Keys[i].File)
+		s.Admission.Keys[i].File = resolvePath(dir, s.Admission.Keys[i].File)
 	}
 	return s, nil
 }
 
-func resolve(dir, file string) string {
+func resolvePath(dir, file string) string {
 	if filepath.IsAbs(file) {
 		return file
 	}
 	return filepath.Join(dir, file)
 }
 
-// Parse checks the content of a settings file and fills in the defaults.
+// Parse validates the content of a settings file and fills in the defaults.
+// Relative file names in it are left as they are.
 func Parse(data []byte) (Settings, error) {
 	r, err := newReader(data)
 	if err != nil {
@@ -141,56 +144,56 @@
 }
 
 func parseIdentity(r *reader, s *Settings) {
-	s.Instance = ids.Instance(r.name("instance.id"))
-	s.DataCentre = ids.DataCentre(r.name("instance.data_centre"))
+	s.Instance = ids.Instance(r.requiredName("instance.id"))
+	s.DataCentre = ids.DataCentre(r.requiredName("instance.data_centre"))
 	s.Linger = r.duration("instance.linger", 3*time.Second, 0, time.Minute)
 	if r.has("instance.random_seed") {
 		seed := uint64(r.integer("instance.random_seed", 0, 0, 1<<62))
 		s.RandomSeed = &seed
 	}
-	s.TLS = TLS{CA: r.text("tls.ca"), Certificate: r.text("tls.certificate"), Key: r.text("tls.key")}
+	s.TLS = TLS{CA: r.requiredString("tls.ca"), Certificate: r.requiredString("tls.certificate"), Key: r.requiredString("tls.key")}
 }
 
 func parseAddresses(r *reader, s *Settings) {
-	s.ServiceIP = r.addr(r.need("service.listen_ip"), netip.Addr{})
+	s.ServiceIP = r.addr(r.requireKey("service.listen_ip"), netip.Addr{})
 	s.BackendIP = r.addr("service.backend_ip", s.ServiceIP)
-	s.PeerListen = r.addrPort(r.need("peer.listen"), netip.AddrPort{})
+	s.PeerListen = r.addrPort(r.requireKey("peer.listen"), netip.AddrPort{})
 	s.PeerAdvertise = r.addrPort("peer.advertise", s.PeerListen)
 	if s.PeerAdvertise.IsValid() && s.PeerAdvertise.Addr().IsUnspecified() {
-		r.fault("peer.advertise", "must name the address that other instances reach when peer.listen is unspecified")
+		r.addFault("peer.advertise", "must name the address that other instances reach when peer.listen is unspecified")
 	}
-	s.AdminListen = r.addrPort(r.need("admin.listen"), netip.AddrPort{})
+	s.AdminListen = r.addrPort(r.requireKey("admin.listen"), netip.AddrPort{})
 	if s.AdminListen.IsValid() && !s.AdminListen.Addr().IsLoopback() {
-		r.fault("admin.listen", "must be a loopback address")
+		r.addFault("admin.listen", "must be a loopback address")
 	}
 	s.PlatformURL = r.httpURL("platform.url")
 }
 
 func parseSeeds(r *reader, s *Settings) {
-	for _, at := range r.tables("seed") {
+	for _, prefix := range r.tablePrefixes("seed") {
 		s.Seeds = append(s.Seeds, Seed{
-			ID:         ids.Instance(r.name(at + ".id")),
-			DataCentre: ids.DataCentre(r.name(at + ".data_centre")),
-			Address:    r.addrPort(r.need(at+".address"), netip.AddrPort{}),
+			ID:         ids.Instance(r.requiredName(prefix + ".id")),
+			DataCentre: ids.DataCentre(r.requiredName(prefix + ".data_centre")),
+			Address:    r.addrPort(r.requireKey(prefix+".address"), netip.AddrPort{}),
 		})
 	}
 }
 
 func parseAdmission(r *reader, s *Settings) {
-	s.Admission.SigningKey = uint8(r.integer("admission.signing_key", required, 0, 255))
+	s.Admission.SigningKey = uint8(r.integer("admission.signing_key", noDefault, 0, 255))
 	s.Admission.MaxEntries = int(r.integer("admission.max_entries", 1<<16, 1<<10, 1<<24))
 	s.Admission.MaxBytes = int(r.integer("admission.max_bytes", 24<<20, 1<<20, 1<<33))
 	seen := map[uint8]bool{}
-	for _, at := range r.tables("admission.key") {
-		k := AdmissionKey{ID: uint8(r.integer(at+".id", required, 0, 255)), File: r.text(at + ".file")}
+	for _, prefix := range r.tablePrefixes("admission.key") {
+		k := AdmissionKey{ID: uint8(r.integer(prefix+".id", noDefault, 0, 255)), File: r.requiredString(prefix + ".file")}
 		if seen[k.ID] {
-			r.fault(at+".id", "is used by an earlier key")
+			r.addFault(prefix+".id", "is used by an earlier key")
 		}
 		seen[k.ID] = true
 		s.Admission.Keys = append(s.Admission.Keys, k)
 	}
 	if r.has("admission.signing_key") && !seen[s.Admission.SigningKey] {
-		r.fault("admission.signing_key", "must be the id of an [[admission.key]]")
+		r.addFault("admission.signing_key", "must be the id of an [[admission.key]]")
 	}
 }
 
@@ -216,7 +219,7 @@
 
 func parseLog(r *reader, l *Log) {
 	level := r.oneOf("log.level", "info", "debug", "info", "warn", "error")
-	_ = l.Level.UnmarshalText([]byte(level)) // oneOf admits only valid levels
+	_ = l.Level.UnmarshalText([]byte(level)) // oneOf returns only valid levels
 }
 
 func parseTrace(r *reader, t *Trace) {
--- a/internal/standin/backend/server.go
+++ b/internal/standin/backend/server.go
@@ -18,29 +18,29 @@
 	"arbutusdock.example/arbutusdock/internal/standin/wire"
 )
 
-// State is what a backend server does with its traffic.
+// State determines how a backend server handles requests.
 type State string
 
 // States of a backend server.
 const (
 	Serving  State = "serving"
-	Draining State = "draining" // still answers, but nothing new should arrive
-	Stopped  State = "stopped"  // answers nothing at all
+	Draining State = "draining" // still responds, but should get no new work
+	Stopped  State = "stopped"  // drops all messages
 )
 
-// lateWorkAfter is the time after the start of a drain from which new work is
+// lateWorkThreshold is the time after the start of a drain from which new work is
 // counted as late.
-const lateWorkAfter = 5 * time.Second
+const lateWorkThreshold = 5 * time.Second
 
 var (
-	errCancelled = errors.New("cancelled by RST")
-	errShed      = errors.New("no slot and no room in the queue")
+	errCancelled  = errors.New("cancelled by RST")
+	errOverloaded = errors.New("no free slot and the queue is full")
 )
 
-// exchange identifies a message of a peer.
-type exchange struct {
-	peer string
-	mid  int32
+// messageKey identifies a message by its peer and CoAP message id.
+type messageKey struct {
+	peer      string
+	messageID int32
 }
 
 // Server is one backend server.
@@ -50,39 +50,41 @@
 	target  config.Target
 	coap    *server.Server
 
-	mu        sync.Mutex
-	state     State
-	since     time.Time // start of state
-	cold      time.Time // end of the cold period
-	lie       string    // reported status instead of the true one
-	lag       time.Duration
-	history   []sample
-	running   int
-	queue     []chan struct{}
-	jobs      map[exchange]context.CancelCauseFunc
-	observers map[string]*observer
-	notified  map[exchange]*observer
-	counts    wire.TargetCounts
+	mu             sync.Mutex
+	state          State
+	stateSince     time.Time     // time at which state was entered
+	coldUntil      time.Time     // end of the cold period
+	statusOverride string        // status to report instead of the actual one; empty: none
+	healthLag      time.Duration // age of the reported health state
+	healthHistory  []healthSample
+	usedSlots      int
+	slotWaiters    []chan struct{}                        // requests that wait for a slot, in order of arrival
+	cancelFuncs    map[messageKey]context.CancelCauseFunc // of the requests in progress
+	observers      map[string]*observer                   // open feeds by observer.key
+	notifications  map[messageKey]*observer               // unacknowledged notifications
+	counts         wire.TargetCounts
 }
 
 func newServer(g *Group, service string, t config.Target) *Server {
 	return &Server{
-		group: g, service: service, target: t, state: Serving, since: time.Now(),
-		jobs: map[exchange]context.CancelCauseFunc{}, observers: map[string]*observer{},
-		notified: map[exchange]*observer{},
-		counts:   wire.TargetCounts{Service: service, DataCentre: string(t.DataCentre)},
+		group: g, service: service, target: t, state: Serving, stateSince: time.Now(),
+		cancelFuncs: map[messageKey]context.CancelCauseFunc{}, observers: map[string]*observer{},
+		notifications: map[messageKey]*observer{},
+		counts:        wire.TargetCounts{Service: service, DataCentre: string(t.DataCentre)},
 	}
 }
 
-// inGoroutine lets a slow request of a peer not delay its other messages. The
-// handler holds a lock per message id, so duplicates still run once only.
-func inGoroutine(r *pool.Message, cc *client.Conn, handler coapconfig.HandlerFunc[*client.Conn]) {
+// processInGoroutine processes each message in its own goroutine, so that a slow
+// request does not delay other messages of the same peer. go-coap holds a lock for
+// each message id, so duplicates are still executed only once.
+func processInGoroutine(r *pool.Message, cc *client.Conn, handler coapconfig.HandlerFunc[*client.Conn]) {
 	go cc.ProcessReceivedMessageWithHandler(r, handler)
 }
 
-// monitor sees each message before go-coap does. An RST with the message id of
-// a request cancels it; an RST with that of a notification ends the feed.
-func (s *Server) monitor(cc *client.Conn, r *pool.Message) (drop bool, err error) {
+// filterMessage is called for each message before go-coap processes it. An RST with
+// the message id of a request cancels the request; one with the message id of a
+// notification closes the feed. In state Stopped all messages are dropped.
+func (s *Server) filterMessage(cc *client.Conn, r *pool.Message) (drop bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.state == Stopped {
@@ -91,99 +93,98 @@
 	if r.Type() != message.Reset {
 		return false, nil
 	}
-	k := exchange{peer: cc.RemoteAddr().String(), mid: r.MessageID()}
-	if cancel, ok := s.jobs[k]; ok {
+	key := messageKey{peer: cc.RemoteAddr().String(), messageID: r.MessageID()}
+	if cancel, ok := s.cancelFuncs[key]; ok {
 		cancel(errCancelled)
 	}
-	if o, ok := s.notified[k]; ok {
-		s.remove(o)
+	if o, ok := s.notifications[key]; ok {
+		s.removeObserver(o)
 	}
 	return false, nil
 }
 
-// execute runs one request in a slot. It returns nil when the request ran to
-// its end.
+// execute runs one request in a slot. It returns nil if the request completed.
 func (s *Server) execute(ctx context.Context, id wire.ID, post, long bool) error {
-	if err := s.acquire(ctx); err != nil {
+	if err := s.acquireSlot(ctx); err != nil {
 		return err
 	}
-	defer s.release()
-	s.group.ledger.begin(id, post)
-	d := s.runTime(long)
+	defer s.releaseSlot()
+	s.group.executions.countStart(id, post)
+	d := s.randomRunTime(long)
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-t.C:
-		s.group.ledger.end(id)
+		s.group.executions.countEnd(id)
 		return nil
 	case <-ctx.Done():
 		return context.Cause(ctx)
 	}
 }
 
-func (s *Server) runTime(long bool) time.Duration {
-	d, ok := s.group.opt.Run[s.service]
+func (s *Server) randomRunTime(long bool) time.Duration {
+	d, ok := s.group.opt.RunTime[s.service]
 	if !ok {
 		d = 20 * time.Millisecond
 	}
 	if long {
-		d *= time.Duration(s.group.opt.LongFactor)
+		d *= time.Duration(s.group.opt.LongRunFactor)
 	}
 	s.mu.Lock()
-	if time.Now().Before(s.cold) {
+	if time.Now().Before(s.coldUntil) {
 		d *= 3
 	}
 	s.mu.Unlock()
 	return time.Duration(float64(d) * (0.8 + 0.4*rand.Float64()))
 }
 
-func (s *Server) acquire(ctx context.Context) error {
+func (s *Server) acquireSlot(ctx context.Context) error {
 	s.mu.Lock()
-	if s.state == Draining && time.Since(s.since) > lateWorkAfter {
+	if s.state == Draining && time.Since(s.stateSince) > lateWorkThreshold {
 		s.counts.LateWork++
 	}
-	if s.running < s.target.Slots {
-		s.start()
+	if s.usedSlots < s.target.Slots {
+		s.takeSlot()
 		s.mu.Unlock()
 		return nil
 	}
-	if len(s.queue) >= s.group.opt.Queue {
+	if len(s.slotWaiters) >= s.group.opt.QueueLimit {
 		s.counts.Shed++
 		s.mu.Unlock()
-		return errShed
+		return errOverloaded
 	}
-	turn := make(chan struct{})
-	s.queue = append(s.queue, turn)
+	granted := make(chan struct{})
+	s.slotWaiters = append(s.slotWaiters, granted)
 	s.mu.Unlock()
 	select {
-	case <-turn:
+	case <-granted:
 		return nil
 	case <-ctx.Done():
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if i := slices.Index(s.queue, turn); i >= 0 {
-		s.queue = slices.Delete(s.queue, i, i+1)
+	if i := slices.Index(s.slotWaiters, granted); i >= 0 {
+		s.slotWaiters = slices.Delete(s.slotWaiters, i, i+1)
 		s.counts.Shed++
-		return errShed // not run, whatever ended the wait
+		return errOverloaded // not run, whether cancelled or expired
 	}
-	return nil // the slot was granted at the same moment
+	return nil // the slot was granted at the same time
 }
 
-// start takes a slot; the caller holds s.mu.
-func (s *Server) start() {
-	s.running++
-	s.counts.Runs++
-	s.counts.MaxRunning = max(s.counts.MaxRunning, s.running)
+// takeSlot marks a slot as used; the caller holds s.mu.
+func (s *Server) takeSlot() {
+	s.usedSlots++
+	s.counts.Executions++
+	s.counts.MaxRunning = max(s.counts.MaxRunning, s.usedSlots)
 }
 
-func (s *Server) release() {
+func (s *Server) releaseSlot() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.running--
-	if len(s.queue) > 0 {
-		close(s.queue[0])
-		s.queue = s.queue[1:]
-		s.start()
+	s.usedSlots--
+	if len(s.slotWaiters) > 0 {
+		close(s.slotWaiters[0])
+		s.slotWaiters = s.slotWaiters[1:]
+		s.takeSlot()
 	}
 }
--- a/internal/standin/platform/platform_test.go
+++ b/internal/standin/platform/platform_test.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// Guards against a watch that misses a publication or returns before it, and
-// against a stale platform that serves anything newer than its snapshot.
+// Guards against a watch that misses a publication or returns before one, and
+// against a platform with a stale revision that serves newer documents.
 func TestWatchAndStale(t *testing.T) {
 	dir := t.TempDir()
 	assert.NilError(t, os.MkdirAll(filepath.Join(dir, "service"), 0o755))
@@ -69,15 +69,15 @@
 	assert.Assert(t, err != nil, "a platform that is down must not respond")
 }
 
-// Guards against a list that shows changes before its lag.
-func TestListLags(t *testing.T) {
-	l := newList(80 * time.Millisecond)
+// Guards against an instance list that shows a change before the lag has passed.
+func TestInstanceListLag(t *testing.T) {
+	l := newInstanceList(80 * time.Millisecond)
 	l.set(Instance{ID: "a"}, true)
-	assert.Equal(t, len(l.show()), 0)
+	assert.Equal(t, len(l.visibleInstances()), 0)
 	time.Sleep(100 * time.Millisecond)
-	assert.Equal(t, len(l.show()), 1)
-	assert.Assert(t, l.leave("a"))
-	assert.Assert(t, !l.show()[0].Leaving)
+	assert.Equal(t, len(l.visibleInstances()), 1)
+	assert.Assert(t, l.markLeaving("a"))
+	assert.Assert(t, !l.visibleInstances()[0].Leaving)
 	time.Sleep(100 * time.Millisecond)
-	assert.Assert(t, l.show()[0].Leaving)
+	assert.Assert(t, l.visibleInstances()[0].Leaving)
 }
