--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -49,10 +49,10 @@
 	return s.next(ctx, "changes", after)
 }
 
-func runFollower(t *testing.T, answers ...response) (*scriptedSource, []Update) {
+func runFollower(t *testing.T, responses ...response) (*scriptedSource, []Update) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	s := &scriptedSource{responses: answers, end: cancel}
+	s := &scriptedSource{responses: responses, end: cancel}
 	var delivered []Update
 	timing := Timing{Wait: time.Second, Interval: time.Millisecond, RetryMin: time.Millisecond, RetryMax: 2 * time.Millisecond}
 	New(s, timing, func(u Update) { delivered = append(delivered, u) }, slog.New(slog.NewTextHandler(io.Discard, nil))).Run(ctx)
--- a/internal/forwarder/report.go
+++ b/internal/forwarder/report.go
@@ -40,10 +40,10 @@
 	return true, suppressed
 }
 
-// logDecision logs a decision about a flow. It identifies the flow by all that an
-// instance can read in a packet: both endpoints and the sequence number. Of the packets
-// whose cookie identifies the target, it logs only those with retransmitted request data
-// and those of flows adopted from another instance.
+// logDecision logs a decision about a flow. It identifies the flow by the header fields
+// that an instance can read: both endpoints and the sequence number. Of the packets whose
+// cookie identifies the target, it logs only those with retransmitted request data and
+// those of flows adopted from another instance.
 func (f *Forwarder) logDecision(now ids.Time, p *passthrough.Packet, d *passthrough.Decision) {
 	l := &f.exceptionLimiter
 	switch {
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -279,8 +279,8 @@
 	return peerwire.Member{}, false
 }
 
-// Address returns the link address of an instance or a seed, and false when it
-// is unknown.
+// Address returns the address for peer links of an instance or a seed, and false
+// when it is unknown.
 func (v *View) Address(id ids.Instance) (string, bool) {
 	if r := v.members[id]; r != nil && r.PeerAddr != "" {
 		return r.PeerAddr, true
--- a/internal/passthrough/trust.go
+++ b/internal/passthrough/trust.go
@@ -117,7 +117,8 @@
 	t.retries++
 }
 
-// markAlive records that t has proved to be alive, which ends its suspicion.
+// markAlive records that t has proved to be alive. If t is suspected, this ends the
+// suspicion.
 func (c *Core) markAlive(now ids.Time, t *target) {
 	c.lastAlive = now
 	t.lastAlive = now
--- a/internal/passthrough/trust_test.go
+++ b/internal/passthrough/trust_test.go
@@ -33,7 +33,7 @@
 	assert.Assert(t, retry >= 1 && retry <= 3, "%d tries in 2 s", retry)
 }
 
-// Evidence that a target is alive must end its suspicion.
+// Evidence that a target is alive must end the suspicion of the target.
 func TestAnswerEndsSuspicion(t *testing.T) {
 	c := testCore()
 	f := testFlow(1, counterAddress)
@@ -113,8 +113,8 @@
 }
 
 // Targets crash or stop answering while long flows are open. If a health check has
-// shown that the target is gone, requests must be reset instead of waiting for their
-// timeout. They must not be reset if this instance itself is cut off, the check is
+// shown that the target is gone, requests must be reset instead of waiting until they
+// time out. They must not be reset if this instance itself is cut off, the check is
 // outdated or the target has proved to be alive.
 func TestCheckOfSuspectedTarget(t *testing.T) {
 	for name, test := range map[string]struct {
