--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -93,9 +93,9 @@
 	members       map[ids.Instance]*record
 	byIncarnation map[ids.Incarnation]*record
 	successors    map[ids.Incarnation]successor
-	digest        uint64 // XOR of the hashes of all records
-	suspected     int    // number of members that are suspected and not yet gone
-	superseded    ids.Incarnation
+	digest        uint64          // XOR of the hashes of all records
+	suspected     int             // number of members that are suspected and not yet gone
+	superseded    ids.Incarnation // highest incarnation above that of self reported for id; 0 for none
 
 	serving        []ids.Instance
 	servingStale   bool // serving has to be computed again
@@ -279,8 +279,8 @@
 	return peerwire.Member{}, false
 }
 
-// Address returns the link address of an instance or a seed, and false when it
-// is unknown.
+// Address returns the address for peer links of an instance or a seed, and false
+// when it is unknown.
 func (v *View) Address(id ids.Instance) (string, bool) {
 	if r := v.members[id]; r != nil && r.PeerAddr != "" {
 		return r.PeerAddr, true
