--- a/internal/config/store_test.go
+++ b/internal/config/store_test.go
@@ -35,7 +35,7 @@
 
 // Guards against a stale or invalid document that replaces the one in force, and
 // against a service that is resolved without a profile or loses its profile.
-func TestStoreRules(t *testing.T) {
+func TestStoreKeepsValidDocuments(t *testing.T) {
 	var s Store
 	changed, _ := applyPublication(&s, "service/counter", 1, serviceDoc("standard"))
 	assert.Equal(t, len(changed), 0, "profile missing: not served")
--- a/internal/core/config_test.go
+++ b/internal/core/config_test.go
@@ -97,7 +97,7 @@
 
 // Guards against an instance that joins without a configuration, or with an old
 // one, while its peers have a newer one.
-func TestJoiningInstanceLearnsFromPeers(t *testing.T) {
+func TestJoiningInstanceGetsConfigFromPeers(t *testing.T) {
 	tc := newTestCluster(t, 3, testService("s", 3))
 	tc.publish(0, 2, Publication{"profile/standard", 1, []byte(profileDocument)}, Publication{"service/d", 2, serviceDocument(0, 1)})
 	tc.advance(2 * time.Second)
--- a/internal/core/request_test.go
+++ b/internal/core/request_test.go
@@ -241,7 +241,7 @@
 
 // Guards against a partner that sends ten times its share of requests and gets
 // more than its share of the slots.
-func TestPartnersKeepTheirSplit(t *testing.T) {
+func TestPartnersGetTheirWeightedShare(t *testing.T) {
 	r := testService("s", 6)
 	r.Profile.Partners = []config.Partner{
 		{Name: "a", Weight: 3, Networks: []netip.Prefix{netip.MustParsePrefix("192.0.2.0/25")}},
--- a/internal/fanout/source_test.go
+++ b/internal/fanout/source_test.go
@@ -258,7 +258,7 @@
 // instance of another data centre has a state, even an old one. In kelani-bump
 // inc-25e5 the only instance of a data centre restarted while the platform was down,
 // and dropped 51 opening packets until the platform returned.
-func TestLoneInstanceStartsWithoutPlatform(t *testing.T) {
+func TestOnlyInstanceStartsWithoutPlatform(t *testing.T) {
 	p := &platformStub{}
 	p.down.Store(true)
 	seed := newNode(t, "s", p)
--- a/internal/forwarder/forwarder_test.go
+++ b/internal/forwarder/forwarder_test.go
@@ -161,7 +161,7 @@
 
 // Guards against requests that fail end to end, responses from another service, and a
 // flow that breaks when its packets reach another instance.
-func TestPath(t *testing.T) {
+func TestRequestsEndToEnd(t *testing.T) {
 	f := newFleet(t, 2)
 	for i := range 20 {
 		answer, err := f.request(counterAddress, fmt.Sprint("claim-", i))
--- a/internal/passthrough/core_test.go
+++ b/internal/passthrough/core_test.go
@@ -141,7 +141,7 @@
 
 // Packets are dropped without a reset while no configuration is known, and if
 // their cookie is unknown or missing: the target may be alive.
-func TestSilenceWithoutKnowledge(t *testing.T) {
+func TestUnknownFlowsAreDropped(t *testing.T) {
 	c := New(Settings{DataCentre: "a", MaxFlows: 16, FlowLifetime: time.Minute})
 	assert.Equal(t, c.HandlePacket(startTime, openingPacket(testFlow(1, counterAddress), 0)), Decision{Reason: NoConfig})
 	assert.Equal(t, c.HandlePacket(startTime, requestPacket(testFlow(1, counterAddress), 77)), Decision{Reason: UnknownCookie})
--- a/internal/passthrough/load_test.go
+++ b/internal/passthrough/load_test.go
@@ -326,7 +326,7 @@
 
 // A quarter of the targets stops answering permanently. Every caller must be served,
 // and only a few may need a copy of their opening packet.
-func TestSilentQuarter(t *testing.T) {
+func TestQuarterOfTargetsUnresponsive(t *testing.T) {
 	s := simulate(map[ids.DataCentre]int{"a": 2, "b": 1}, map[ids.DataCentre]int{"a": 8, "b": 4}, func(s *simulation) {
 		s.arrivals("a", constantRate(150), s.shortFlow)
 		s.schedule(2*time.Second, func() {
