--- a/cmd/arbutusdock/dryrun.go
+++ b/cmd/arbutusdock/dryrun.go
@@ -115,8 +115,9 @@
 }
 
 // compareAllocations divides the capacity by weighted max-min fairness under both
-// profiles. A partner that only one profile defines has weight 0 in the other:
-// there its callers count as callers without a partner, which have weight 1.
+// profiles. A partner that only one profile defines has weight 0 in the other,
+// under which its callers count as callers without a partner, which have weight
+// 1.
 func compareAllocations(present, proposed config.Profile, demand map[ids.Partner]float64, capacity float64) []allocation {
 	presentWeights, newWeights := weights(present, demand), weights(proposed, demand)
 	presentShares := share.MaxMin(capacity, demand, presentWeights)
--- a/cmd/arbutusdockd/main.go
+++ b/cmd/arbutusdockd/main.go
@@ -49,8 +49,8 @@
 func main() { os.Exit(run()) }
 
 func run() int {
-	// Registered before anything else: until then a SIGHUP would terminate the
-	// process.
+	// This must be the first step: until the handler is registered, SIGHUP
+	// terminates the process.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	var a arguments
--- a/cmd/arbutusdockd/passthrough_test.go
+++ b/cmd/arbutusdockd/passthrough_test.go
@@ -28,8 +28,8 @@
 	return file
 }
 
-// Guards against SIGHUP terminating the process. The users' test bench found
-// this: there, settings files change during operation.
+// Guards against SIGHUP terminating the process. This was found on the users'
+// test bench, where settings files change during operation.
 func TestPassthroughSurvivesHangup(t *testing.T) {
 	file := writePassthrough(t)
 	p := startProcess(t, file)
--- a/internal/daemon/addresses.go
+++ b/internal/daemon/addresses.go
@@ -10,7 +10,8 @@
 	"arbutusdock.example/arbutusdock/internal/settings"
 )
 
-// maxBookEntries bounds the address book; a fleet has 2,500 instances.
+// maxBookEntries is the maximum number of entries in the address book. A fleet
+// has 2,500 instances.
 const maxBookEntries = 1 << 14
 
 // addressBook maps each instance to the address of its link listener. An
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -121,8 +121,8 @@
 
 // BenchmarkControlTraffic starts five instances with the default control budget.
 // It reports the mean control bytes per second and the CPU use of an idle
-// instance, and the most control bytes that any instance sent while joining and
-// in the following 10 s.
+// instance, and the largest number of control bytes that any instance sent while
+// joining and in the following 10 s.
 func BenchmarkControlTraffic(b *testing.B) {
 	const instances, period = 5, 10 * time.Second
 	for range b.N {
--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -61,7 +61,7 @@
 	return l
 }
 
-// address returns the address on which s receives datagrams of callers.
+// address returns the address on which s receives datagrams from callers.
 func (l *serviceListeners) address(s *config.Service) netip.AddrPort {
 	ip := s.Address
 	if !ip.IsValid() || ip.IsUnspecified() {
--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -20,7 +20,9 @@
 )
 
 const (
-	tickInterval = 10 * time.Millisecond // section 3.1 of the design
+	// tickInterval is the interval between calls of Core.Tick (section 3.1 of the
+	// design).
+	tickInterval = 10 * time.Millisecond
 	// publishInterval is the interval at which the counters of the core are
 	// copied to the metrics.
 	publishInterval = time.Second
--- a/internal/daemon/socket_test.go
+++ b/internal/daemon/socket_test.go
@@ -88,7 +88,7 @@
 
 // Guards against a violation of invariant 2: a datagram that is delivered to a
 // different service after a configuration change, or a service that takes over
-// the socket of another service when both are configured with one address.
+// the socket of another service when both are configured with the same address.
 func TestListenersApplyConfiguration(t *testing.T) {
 	receiveQueue := ring.New[*packet](8)
 	l := newServiceListeners(loopback, receiveQueue, 8, slog.New(slog.DiscardHandler), telemetry.NewRegistry())
--- a/internal/documents/documents.go
+++ b/internal/documents/documents.go
@@ -41,7 +41,7 @@
 	minBackoff   = 100 * time.Millisecond
 )
 
-// Errors that reject a response of the platform.
+// Errors returned for an invalid response of the platform.
 var (
 	ErrTooLarge = httpget.ErrTooLarge
 	ErrOrder    = eris.New("platform: documents out of order of revision")
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -40,8 +40,8 @@
 	key         ed25519.PrivateKey
 }
 
-// CreateCA creates a CA with the common name name and writes ca.crt and ca.key
-// to dir. It fails if either file exists.
+// CreateCA creates a CA whose common name is name and writes ca.crt and ca.key to
+// dir. It fails if either file exists.
 func CreateCA(dir, name string, validity time.Duration) (*CA, error) {
 	publicKey, privateKey, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
--- a/internal/link/budget.go
+++ b/internal/link/budget.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// messageOverhead is the number of bytes on the wire that one message needs in
-// addition to its own: a TLS 1.3 record (5 header, 1 type, 16 tag) and a
+// messageOverhead is the number of bytes that TLS and WebSocket add to each
+// message on the wire: a TLS 1.3 record (5 header, 1 type, 16 tag) and a
 // WebSocket header with mask (8).
 const messageOverhead = 30
 
@@ -40,8 +40,8 @@
 }
 
 // maxUrgentBytes is the largest size at which a control message is urgent
-// regardless of its kind. The profile in docs/examples takes 1,283 B with its
-// envelope.
+// regardless of its kind. The profile in docs/examples, which has 1,283 B with
+// its envelope, is below it.
 const maxUrgentBytes = 1500
 
 // Take reserves budget for a control message of size bytes at time now. If the
@@ -75,7 +75,8 @@
 
 // Grant adds bytes that bulk messages may use at any time and that are not
 // refilled. A starting instance needs them: it exchanges the complete
-// membership view and configuration with its peers, far above its mean rate.
+// membership view and configuration with its peers, which takes far more bytes
+// per second than its mean rate.
 func (b *Budget) Grant(bytes int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/link/lane.go
+++ b/internal/link/lane.go
@@ -169,9 +169,9 @@
 		select {
 		case <-l.manager.ctx.Done():
 			return
-		case out := <-l.queue:
+		case m := <-l.queue:
 			lastDequeue = time.Now()
-			l.process(out)
+			l.process(m)
 		case <-bulkReady:
 		case <-checkTicker.C:
 			l.checkConnection()
@@ -182,25 +182,25 @@
 	}
 }
 
-// process sends out, or appends it to the bulk messages that wait for budget. A
+// process sends m, or appends it to the bulk messages that wait for budget. A
 // heartbeat that exceeds the budget is dropped.
-func (l *lane) process(out *queuedMessage) {
+func (l *lane) process(m *queuedMessage) {
 	switch {
 	case l.key.lane == peerwire.Data:
-		l.send(out)
+		l.send(m)
 		return
-	case out.replaceable || len(out.data) <= maxUrgentBytes:
+	case m.replaceable || len(m.data) <= maxUrgentBytes:
 		// Connect before reserving budget, so that no budget is spent on a peer
 		// that cannot be reached.
-		if l.connect(out) == nil {
+		if l.connect(m) == nil {
 			l.manager.counts.stale.Add(1)
 			return
 		}
-		if _, ok := l.manager.budget.Take(time.Now(), len(out.data), true); ok {
-			l.send(out)
+		if _, ok := l.manager.budget.Take(time.Now(), len(m.data), true); ok {
+			l.send(m)
 			return
 		}
-		if out.replaceable {
+		if m.replaceable {
 			l.manager.counts.overBudget.Add(1)
 			return
 		}
@@ -209,20 +209,20 @@
 		l.manager.counts.queueFull.Add(1)
 		return
 	}
-	l.bulkQueue = append(l.bulkQueue, out)
+	l.bulkQueue = append(l.bulkQueue, m)
 }
 
 // sendBulk sends the bulk messages that the budget allows. If some remain, it
 // returns the time after which to retry, otherwise 0.
 func (l *lane) sendBulk() time.Duration {
 	for len(l.bulkQueue) > 0 {
-		out := l.bulkQueue[0]
-		if wait, ok := l.manager.budget.Take(time.Now(), len(out.data), false); !ok {
+		m := l.bulkQueue[0]
+		if wait, ok := l.manager.budget.Take(time.Now(), len(m.data), false); !ok {
 			return wait + time.Millisecond
 		}
 		l.bulkQueue = l.bulkQueue[1:]
-		out.queuedAt = time.Now() // the time that it waited for budget does not count towards maxQueueTime
-		l.send(out)
+		m.queuedAt = time.Now() // the time that m waited for budget does not count towards maxQueueTime
+		l.send(m)
 	}
 	l.bulkQueue = nil
 	return 0
@@ -257,16 +257,16 @@
 	c.unansweredSince.Store(0)
 }
 
-// send writes out to the peer.
-func (l *lane) send(out *queuedMessage) {
+// send writes m to the peer.
+func (l *lane) send(m *queuedMessage) {
 	// If the peer has closed the connection, the first write fails and the
 	// message is sent over a new connection.
 	for range 2 {
-		c := l.connect(out)
+		c := l.connect(m)
 		if c == nil {
 			break
 		}
-		if l.write(c, out.data) {
+		if l.write(c, m.data) {
 			return
 		}
 	}
@@ -289,14 +289,14 @@
 }
 
 // connect returns the current connection or dials a new one. It returns nil if
-// the peer cannot be reached before out exceeds maxQueueTime.
-func (l *lane) connect(out *queuedMessage) *connection {
+// the peer cannot be reached before m exceeds maxQueueTime.
+func (l *lane) connect(m *queuedMessage) *connection {
 	for {
 		if c := l.currentConnection(); c != nil {
 			return c
 		}
 		wait := time.Until(l.retryAt)
-		if time.Since(out.queuedAt)+max(wait, 0) > maxQueueTime {
+		if time.Since(m.queuedAt)+max(wait, 0) > maxQueueTime {
 			return nil
 		}
 		if wait > 0 {
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -29,15 +29,15 @@
 	// trips), also between regions and on a busy machine.
 	dialTimeout  = 2 * time.Second
 	writeTimeout = 1 * time.Second
-	// If nothing has been received for this time after a write, the connection
-	// is probed with a ping, and closed when no pong arrives within the same
-	// time. This detects broken connections that were not closed. The control
-	// lane is probed less often because its probes count towards the budget.
+	// dataSilenceTimeout and controlSilenceTimeout apply to a connection on which
+	// nothing has been received since a write. After this time it is probed with
+	// a ping, and it is closed when no pong arrives within the same time. This
+	// detects broken connections that were not closed. The control lane is probed
+	// less often because its probes count towards the budget.
 	dataSilenceTimeout    = 500 * time.Millisecond
 	controlSilenceTimeout = 1 * time.Second
-	// simultaneousDialWindow is the time between two dials of one lane, one from
-	// each side, below which they count as simultaneous. It equals the dial
-	// timeout.
+	// simultaneousDialWindow is the time within which a dial by each side of the
+	// same lane counts as simultaneous. It equals the dial timeout.
 	simultaneousDialWindow = dialTimeout
 	minBackoff             = 50 * time.Millisecond
 	maxBackoff             = 2 * time.Second
@@ -200,7 +200,8 @@
 }
 
 // removeIfIdle removes lane l, unless a message was queued or a connection
-// attached since the caller found the lane idle. It reports whether it did.
+// attached since the caller found the lane idle. It reports whether l was
+// removed.
 func (m *Manager) removeIfIdle(l *lane) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/message/codec.go
+++ b/internal/message/codec.go
@@ -208,7 +208,7 @@
 
 // Encode appends the datagram that o describes to dst and returns the result.
 // All options of the template that o does not replace, including critical ones,
-// are kept unchanged and in order. The only exception are elective options with
+// are kept unchanged and in order. The only exceptions are elective options with
 // a length that RFC 7252 section 5.4.3 forbids; go-coap omits them. On error,
 // Encode returns dst unchanged.
 func Encode(dst []byte, o *Outgoing) ([]byte, error) {
--- a/internal/message/codec_test.go
+++ b/internal/message/codec_test.go
@@ -80,7 +80,7 @@
 }
 
 // Guards against an encoder that overwrites the existing bytes of dst, and
-// against a malformed template that is encoded.
+// against a malformed template that is accepted.
 func TestEncodeAppends(t *testing.T) {
 	out, err := Encode([]byte("ab"), &Outgoing{Type: Acknowledgement, ID: 7})
 	assert.NilError(t, err)
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -58,8 +58,8 @@
 }
 
 // Message is the decoded form of one datagram. Raw, Echo, Host and ETag alias the
-// datagram. Code that keeps them after the call that it received the message
-// with must copy them.
+// datagram. A function that keeps one of them after the call in which it received
+// the message must copy it.
 type Message struct {
 	Type     Type
 	Code     Code
--- a/internal/settings/passthrough.go
+++ b/internal/settings/passthrough.go
@@ -24,7 +24,7 @@
 	Seeds     string // control addresses of instances, separated by commas
 
 	ApplyWithin       time.Duration // time within which a published configuration change must be in effect
-	GracePeriod       time.Duration // time from SIGTERM until the process exits even with open flows
+	GracePeriod       time.Duration // time after SIGTERM at which the process exits even if flows are still open
 	FlowLifetime      time.Duration // age after which the state of a flow may be removed
 	HeartbeatInterval time.Duration // interval at which backend servers renew their records
 	MemoryBytes       int64         // memory limit of the process; 0 for none
--- a/internal/settings/reader.go
+++ b/internal/settings/reader.go
@@ -150,7 +150,7 @@
 	return strings.Join(parts, "."), line
 }
 
-// addFault records a fault of key. Its line is that of the key or, when the key
+// addFault records a fault of key. The line is that of the key or, when the key
 // is absent, of the innermost enclosing table that is present.
 func (r *reader) addFault(key, format string, args ...any) {
 	line, prefix := 0, key
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -37,11 +37,11 @@
 	return v
 }
 
-// Gauge registers a metric whose value is the result of f when it is read.
+// Gauge registers a metric. f returns its value and is called on each read.
 func (r *Registry) Gauge(name string, f func() any) { r.vars.Set(name, expvar.Func(f)) }
 
-// RegisterRing registers the depth, peak, capacity and drop count of a ring
-// buffer under its name.
+// RegisterRing registers metrics for the depth, peak, capacity and drop count of
+// a ring buffer. Their names contain the name of the ring buffer.
 func (r *Registry) RegisterRing(name string, stats func() ring.Stats) {
 	r.Gauge("ring_"+name+"_depth_entries", func() any { return stats().Depth })
 	r.Gauge("ring_"+name+"_peak_entries", func() any { return stats().Peak })
