--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -76,9 +76,10 @@
 // Last returns the measurement at the greatest size, which is the last point.
 func (f *Fit) Last() Point { return f.Points[len(f.Points)-1] }
 
-// At returns the value at size x. This is the value on the line, the greatest
-// measured value of a constant, or for a curve the value measured at x, else
-// the last measured value scaled by the fitted power of the size.
+// At returns the value at size x. For a Line it is the value on the line, and for
+// a Constant the greatest measured value. For a Curve it is the value measured at
+// x, or if there is none, the last measured value scaled by the fitted power of
+// the size.
 func (f *Fit) At(x float64) float64 {
 	switch f.Shape {
 	case Constant:
--- a/internal/capacity/fleet.go
+++ b/internal/capacity/fleet.go
@@ -94,8 +94,8 @@
 	return f
 }
 
-// warmUp brings all instances to the steady state of a long run: each one
-// serves, its member list has all others as serving, and no change is being
+// warmUp brings all instances to the steady state of a long run: each instance
+// serves, its member list shows all others as serving, and no change is being
 // propagated.
 func (f *fleet) warmUp() {
 	f.run(tickInterval)
@@ -124,7 +124,7 @@
 	}
 }
 
-// runUntilSteady runs until the traffic no longer falls, at most two minutes.
+// runUntilSteady runs until the traffic no longer falls, for at most two minutes.
 func (f *fleet) runUntilSteady() {
 	const period = 3 * time.Second
 	for lastBytes, end := math.Inf(1), f.now.Add(2*time.Minute); f.now < end; {
@@ -151,8 +151,8 @@
 	}
 }
 
-// converged reports whether every instance has all instances in its member list
-// as serving and unsuspected.
+// converged reports whether the member list of every instance shows all instances
+// as serving and not suspected.
 func (f *fleet) converged() bool {
 	for _, n := range f.nodes {
 		serving := 0
--- a/internal/capacity/node.go
+++ b/internal/capacity/node.go
@@ -188,7 +188,7 @@
 }
 
 // exchange delivers request m from a caller to the core and, if the core sends
-// it to a backend server, delivers the response of that server at once. It
+// it to a backend server, immediately delivers the response of that server. It
 // returns the number of events that the core handled.
 func (n *node) exchange(m *message.Message, caller ids.Endpoint) int {
 	n.advanceClock()
--- a/internal/capacity/target.go
+++ b/internal/capacity/target.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// The target size, from section 1.4 of docs/design.md, and the budgets at it.
+// The target size, from section 1.4 of docs/design.md, and the budgets for it.
 const (
 	targetNodes          = 2500
 	targetDataCentres    = 5
@@ -10,10 +10,10 @@
 	targetBackendServers = 29_000
 	targetServices       = 6800
 	targetFlows          = 35_000_000 // open at the same time
-	targetNewFlowRate    = 170_000    // a second
-	targetDailyChanges   = 15_000     // a day
-	targetDailyFailures  = 79         // a day
-	targetDailyRestarts  = 2500       // a day
+	targetNewFlowRate    = 170_000    // per second
+	targetDailyChanges   = 15_000     // per day
+	targetDailyFailures  = 79         // per day
+	targetDailyRestarts  = 2500       // per day
 	secondsPerDay        = 86_400.0
 	flowsPerNode         = targetFlows / targetNodes
 	newFlowRatePerNode   = targetNewFlowRate / targetNodes
@@ -22,14 +22,14 @@
 
 	cpuBudget          = 4.8     // % of a core
 	memoryBudget       = 64e6    // bytes
-	controlBytesBudget = 2048.0  // a second
+	controlBytesBudget = 2048.0  // per second
 	propagationBudget  = 5.0     // seconds
-	platformReadBudget = 2000.0  // a second
-	listReadRate       = 1 / 10. // a second by each instance (listEvery in internal/daemon)
+	platformReadBudget = 2000.0  // per second
+	listReadRate       = 1 / 10. // per second and instance (listInterval in internal/daemon)
 	bytesPerSocket     = 5000.0  // BenchmarkServiceSockets, 4.2 to 5.0 KB
 	idleDaemonCPU      = 1.2     // % of a core, BenchmarkControlTraffic
 	controlLinks       = 8 + 1   // 8 neighbours, and the mean number of links to other data centres
-	tickRate           = 100.0   // a second
+	tickRate           = 100.0   // per second
 )
 
 // Figure is a quantity that is computed for the target size.
--- a/internal/experiment/backend.go
+++ b/internal/experiment/backend.go
@@ -50,7 +50,7 @@
 	}}
 }
 
-// reportedHealth is the state that the health endpoint reports.
+// reportedHealth returns true if the health endpoint reports the server as healthy.
 func (b *backend) reportedHealth() bool { return b.dead == b.falseHealth }
 
 // updateBusyTime adds the slot time used since the previous call. It must be
--- a/internal/experiment/baseline.go
+++ b/internal/experiment/baseline.go
@@ -13,7 +13,7 @@
 type backendPicker func(n *baseline, candidates []*backend) *backend
 
 // baseline is a policy in which every instance uses all backend servers and
-// sends each request on at once. Requests queue at the backend servers, which
+// forwards each request immediately. Requests queue at the backend servers, which
 // shed load when their queues are full.
 type baseline struct {
 	cluster         *cluster
@@ -104,7 +104,8 @@
 }
 
 // pickLeastOutstanding selects the backend server with the fewest outstanding
-// requests of this instance. The search starts at a random one to break ties.
+// requests of this instance. The search starts at a random candidate, so that ties
+// are broken at random.
 func pickLeastOutstanding(n *baseline, candidates []*backend) *backend {
 	start := n.cluster.rng.IntN(len(candidates))
 	best := candidates[start]
--- a/internal/experiment/caller.go
+++ b/internal/experiment/caller.go
@@ -36,7 +36,7 @@
 }
 
 // transmit sends r to a random instance and retransmits it with doubled timeout
-// until it is acknowledged. It does nothing more once a later attempt started.
+// until it is acknowledged. It does nothing more once a later attempt has started.
 func (c *cluster) transmit(r *request, attempt int, timeout time.Duration) {
 	receiver := c.randomInstance()
 	c.after(callerDelay, func() {
@@ -119,7 +119,8 @@
 	c.stats.recordSettled(r, result)
 }
 
-// expiry returns the deadline of an instance for the current attempt of r.
+// expiry returns the time until which an instance may respond to the current
+// attempt of r.
 func (c *cluster) expiry(r *request) ids.Time {
 	return r.attemptStart.Add(callerDelay + c.config.Profile.Protect.Deadline)
 }
--- a/internal/experiment/cluster.go
+++ b/internal/experiment/cluster.go
@@ -209,7 +209,8 @@
 	}
 }
 
-// randomInstance returns a random instance, as the network fabric routes.
+// randomInstance returns the instance to which the network fabric routes the next
+// datagram, selected at random.
 func (c *cluster) randomInstance() *instance { return c.routable[c.rng.IntN(len(c.routable))] }
 
 // backendByTarget returns the backend server with a target name.
--- a/internal/experiment/shares.go
+++ b/internal/experiment/shares.go
@@ -16,8 +16,8 @@
 	idleEnd        = 20 * time.Second
 	sharesRun      = 25 * time.Second
 	splitWindow    = 5 * windowLength // time span over which a split is measured
-	settleTime     = 2 * time.Second
-	splitTolerance = 0.05
+	settleTime     = 2 * time.Second  // time after the start or a weight change that is not measured
+	splitTolerance = 0.05             // relative error up to which a split counts as reached
 )
 
 func partners(a, b uint32) []config.Partner {
--- a/internal/experiment/stats.go
+++ b/internal/experiment/stats.go
@@ -14,7 +14,7 @@
 type window struct {
 	firstSent            int                           // first transmissions of requests
 	transmissions        int                           // all transmissions
-	served               int                           // responses, by time of completion
+	served               int                           // served requests, by time of completion
 	refused              int                           // refusals, by time of refusal
 	work                 time.Duration                 // run time of served requests
 	partnerWork          map[ids.Partner]time.Duration // run time of served requests, by partner
--- a/internal/experiment/workload.go
+++ b/internal/experiment/workload.go
@@ -25,9 +25,9 @@
 }
 
 const (
-	longFactor = 50
-	shortPaths = 40
-	longPaths  = 10
+	longFactor = 50 // run time of a long request as a multiple of that of a short one
+	shortPaths = 40 // number of paths of short requests
+	longPaths  = 10 // number of paths of long requests
 	// runShape is the shape of the gamma distribution of run times. It gives a
 	// coefficient of variation of one half.
 	runShape = 4
--- a/internal/standin/backend/ledger.go
+++ b/internal/standin/backend/ledger.go
@@ -8,8 +8,8 @@
 )
 
 // executionCounter counts executions by request id for all servers of a group. It
-// stands for the records of the application, in which callers can look up whether
-// a request was executed.
+// models the records of the application, in which callers can look up whether a
+// request was executed.
 type executionCounter struct {
 	mu          *sync.Mutex
 	byRequest   map[string]wire.ExecutionCounts
--- a/internal/standin/caller/caller.go
+++ b/internal/standin/caller/caller.go
@@ -1,6 +1,6 @@
-// Package caller is the stand-in for the callers of both users: a load generator
-// on an unmodified go-coap client, which sends the mix of requests and feeds of one
-// user, verifies each response and counts failures.
+// Package caller is the stand-in for the callers of the users board and kelani: a
+// load generator that uses an unmodified go-coap client. It sends the mix of
+// requests and feeds of one user, verifies each response and counts failures.
 package caller
 
 import (
@@ -61,7 +61,7 @@
 	FirstLocalIP netip.Addr // source IP address of the first caller; the next callers use the following ones, up to .240
 	Callers      int        // number of callers for each service and data centre
 	Duration     time.Duration
-	Deadline     time.Duration // time limit of a response, without the time for retransmissions
+	Deadline     time.Duration // time limit for a response, not counting the time for retransmissions
 	// AckTimeout is the transmission parameter ACK_TIMEOUT of CoAP; 0: 500 ms.
 	AckTimeout      time.Duration
 	RefreshInterval time.Duration // interval at which the registration of a feed is refreshed
--- a/internal/standin/caller/caller_test.go
+++ b/internal/standin/caller/caller_test.go
@@ -71,8 +71,8 @@
 	return g.Run(ctx)
 }
 
-// Guards against stand-ins that report failures of their own: callers connected
-// directly to the backend servers must see no violated guarantee.
+// Guards against failures that the stand-ins themselves cause: with callers
+// connected directly to the backend servers, no guarantee may be violated.
 func TestCallerAndBackend(t *testing.T) {
 	g := startBackends(t, "127.82.0.1")
 	for _, user := range []string{"board", "kelani"} {
--- a/internal/standin/caller/feed.go
+++ b/internal/standin/caller/feed.go
@@ -24,7 +24,7 @@
 	feedCheckInterval = 100 * time.Millisecond
 )
 
-// feed is one feed of a caller.
+// feed keeps one feed of a caller registered and checks its readings.
 type feed struct {
 	generator *Generator
 	conn      *callerConn
--- a/internal/standin/caller/operation.go
+++ b/internal/standin/caller/operation.go
@@ -15,8 +15,8 @@
 const (
 	// maxRetries limits the new attempts of an operation after a 5.03.
 	maxRetries = 4
-	// maxEchoChallenges limits the 4.01 responses with an admission token to which
-	// one request is sent again.
+	// maxEchoChallenges limits how often one request is sent again because of a
+	// 4.01 response with an admission token.
 	maxEchoChallenges = 6
 	// certificateDeadlineFactor extends the deadline of certificate requests, for
 	// which some delay is acceptable.
@@ -162,8 +162,8 @@
 	}
 }
 
-// queryOutcome queries the service whether an operation was executed. It returns
-// the state from the response, or "not told".
+// queryOutcome sends a query to the service for whether an operation was executed.
+// It returns the state from the response, or "not told".
 func (g *Generator) queryOutcome(ctx context.Context, conn *callerConn, op operation, id wire.ID) string {
 	query := operation{class: OutcomeQuery, service: op.service, path: "/outcome"}
 	queryID := wire.ID{Service: op.service, Caller: conn.caller + "-q", Operation: id.Operation, Attempt: 1}
--- a/internal/standin/fabric/fabric.go
+++ b/internal/standin/fabric/fabric.go
@@ -94,7 +94,7 @@
 		for _, c := range sockets {
 			_ = c.Close()
 		}
-		f.closeIdleRoutes(time.Now().Add(24 * time.Hour))
+		f.closeIdleRoutes(time.Now().Add(24 * time.Hour)) // closes all routes
 	}()
 	for dc, ip := range f.opt.PublicIPs {
 		for _, port := range f.opt.Ports {
--- a/internal/standin/fabric/links.go
+++ b/internal/standin/fabric/links.go
@@ -88,7 +88,8 @@
 }
 
 // resetSignal returns a channel that is closed when the connections between the
-// two data centres are to be closed. It is nil within a data centre.
+// two data centres are to be closed. It returns nil if a and b are the same data
+// centre, or if a is not known.
 func (f *Fabric) resetSignal(a, b string) <-chan struct{} {
 	if a == b || a == "" {
 		return nil
@@ -98,9 +99,9 @@
 	return f.linkReset
 }
 
-// copyWithDelay copies src in data centre fromDC to dst in toDC with the delay
-// between them. While that direction is blocked, nothing is copied and the
-// connection stays open, as with lost TCP segments.
+// copyWithDelay copies data from src in data centre fromDC to dst in toDC with the
+// link delay. While that direction is blocked, nothing is copied and the
+// connection stays open, as when all TCP segments are lost.
 func (f *Fabric) copyWithDelay(ctx context.Context, dst io.Writer, src io.Reader, fromDC, toDC string) {
 	queue := make(chan delayedChunk, linkQueueLength)
 	go func() {
--- a/internal/standin/report/report.go
+++ b/internal/standin/report/report.go
@@ -66,7 +66,8 @@
 	AllowedBreaks int
 	// WastedExecutions counts requests that were told to retry although they had
 	// run. This violates no guarantee: only idempotent requests get such a response,
-	// and it does not state whether they ran. But their results were not used.
+	// and the response does not state whether they ran. But their results were not
+	// used.
 	WastedExecutions int
 	// LateWork counts requests and feeds that a backend server got more than 5 s
 	// after the start of its drain, and feeds still open there at the end of the
@@ -178,11 +179,11 @@
 	for _, f := range failures {
 		duringStop, kills := overlappingEvents(f, events)
 		description := fmt.Sprintf("%s %s %s from %d to %d: %s", f.Kind, f.Class, f.ID, f.Start, f.End, f.Detail)
-		interrupted := duringStop && len(kills) == 0
+		causedByStop := duringStop && len(kills) == 0
 		switch f.Kind {
 		case wire.KindWrongContent:
 			v.addViolation(&v.Misdelivered, "%s", description)
-			interrupted = false
+			causedByStop = false
 		case wire.KindLost:
 			v.addViolation(&v.LostAnswers, "%s", description)
 		case wire.KindFeedEnded, wire.KindFeedSilent:
@@ -197,9 +198,9 @@
 		case wire.KindFailed:
 			v.Details = append(v.Details, description)
 		case wire.KindRefused:
-			interrupted = false // refusals under load are correct; minAnsweredShare limits them instead
+			causedByStop = false // refusals under load are correct; minAnsweredShare limits them instead
 		}
-		if interrupted {
+		if causedByStop {
 			v.addViolation(&v.FailedByPlannedStop, "cut by planned stop: %s", description)
 		}
 	}
--- a/internal/standin/wire/counts.go
+++ b/internal/standin/wire/counts.go
@@ -20,7 +20,7 @@
 	FeedsOpened        int    `json:"feeds_opened"`
 	FeedsClosedByDrain int    `json:"feeds_cut"` // still open when the drain grace period ended
 	Readings           int    `json:"readings"`  // acknowledged notifications
-	LateWork           int    `json:"late_work"` // requests started more than 5 s after the drain began
+	LateWork           int    `json:"late_work"` // requests and feeds started more than 5 s after the drain began
 	MaxRunning         int    `json:"max_running"`
 }
 
