--- a/internal/capacity/fleetslopes.go
+++ b/internal/capacity/fleetslopes.go
@@ -15,7 +15,7 @@
 	startBytes     = 128 << 10 // default of the setting link.start_bytes
 	// changeInterval is the mean time between changes at 15,000 changes a day.
 	changeInterval     = 24 * time.Hour / 15_000
-	propagationTimeout = 60 * time.Second  // greatest propagation time of a change that is measured
+	propagationTimeout = 60 * time.Second  // longest propagation of a change that is measured
 	convergenceTimeout = 180 * time.Second // longest cold start or recovery that is measured
 )
 
--- a/internal/standin/caller/operation.go
+++ b/internal/standin/caller/operation.go
@@ -162,8 +162,8 @@
 	}
 }
 
-// queryOutcome sends a query to the service for whether an operation was executed.
-// It returns the state from the response, or "not told".
+// queryOutcome sends an outcome query, which asks the service whether an operation
+// was executed. It returns the state from the response, or "not told".
 func (g *Generator) queryOutcome(ctx context.Context, conn *callerConn, op operation, id wire.ID) string {
 	query := operation{class: OutcomeQuery, service: op.service, path: "/outcome"}
 	queryID := wire.ID{Service: op.service, Caller: conn.caller + "-q", Operation: id.Operation, Attempt: 1}
