--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -190,8 +190,8 @@
 	return &testCaller{t: t, conn: c}
 }
 
-// request sends a request to one address and returns the final response. It
-// returns false when there is none within wait.
+// request sends a request to one address and returns the response, ignoring empty
+// ACKs. It returns false when there is none within wait.
 func (c *testCaller) request(to netip.AddrPort, code message.Code, echo []byte, wait time.Duration) (message.Message, bool) {
 	c.lastMessageID++
 	token := message.Token{Bytes: [8]byte{byte(c.lastMessageID >> 8), byte(c.lastMessageID)}, Len: 2}
@@ -254,9 +254,10 @@
 	}
 }
 
-// Guards against two instances that do not discover each other. An admission
-// token issued by one is accepted when the retry arrives at the other, which
-// relays it. Requests are still served after the planned stop of the issuer.
+// Guards against two instances that do not discover each other. When a retry
+// with an admission token arrives at the instance that did not issue the token,
+// that instance must relay it and the token must be accepted. Requests must still
+// be served after the planned stop of the issuer.
 func TestTwoInstances(t *testing.T) {
 	s := newTestSite(t, 2)
 	first := s.startDaemon(1)
--- a/internal/link/bench_test.go
+++ b/internal/link/bench_test.go
@@ -53,8 +53,8 @@
 }
 
 // measureLinkMemory opens a data lane from one manager to each of n peers, and
-// returns the memory that one end of a connection uses. mapAddress returns the
-// address to dial for the address of a listener.
+// returns the memory that one end of a connection uses. mapAddress converts the
+// address of a listener to the address that is dialled.
 func measureLinkMemory(b *testing.B, n int, mapAddress func(address string) string) (bytesPerEnd int64) {
 	b.StopTimer()
 	defer b.StartTimer()
--- a/internal/message/codec_test.go
+++ b/internal/message/codec_test.go
@@ -33,7 +33,7 @@
 }
 
 // Guards against fields of a datagram that are lost or decoded wrongly.
-func TestDecodeView(t *testing.T) {
+func TestDecodeFields(t *testing.T) {
 	var m Message
 	assert.NilError(t, Decode(requestDatagram(t), &m))
 	assert.Equal(t, m.Type, Confirmable)
